--- a/node/agent.go
+++ b/node/agent.go
@@ -18,7 +18,7 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// Agent is the program beside an upstream.
+// Agent runs on the VM of an upstream and connects it to the balancers.
 type Agent struct {
 	*base
 	loop     *loop
@@ -30,7 +30,7 @@
 	cancel   context.CancelFunc
 }
 
-// NewAgent prepares an agent; it opens its sockets.
+// NewAgent creates an agent and opens its UDP sockets.
 func NewAgent(o Options, l *slog.Logger) (*Agent, error) {
 	b, err := newBase(o, platform.RoleAgent, l)
 	if err != nil {
@@ -80,29 +80,30 @@
 
 func (a *Agent) tick(now time.Duration) time.Duration { return a.agent.Tick(now) }
 
-// Announce takes a heartbeat of the upstream.
+// Announce handles a heartbeat of the upstream and reports whether it may be acknowledged.
 func (a *Agent) Announce(n *datagram.Announcement) bool {
 	n.Age = time.Since(time.UnixMilli(n.Born))
 	var ok bool
 	return a.loop.do(a.ctx, func(now time.Duration) { ok = a.agent.Announce(n, now) }) && ok
 }
 
-// Deregister takes in that the upstream exits.
+// Deregister records that the upstream with the ID is about to exit.
 func (a *Agent) Deregister(id string) {
 	a.loop.do(a.ctx, func(now time.Duration) { a.agent.Deregister(id, now) })
 }
 
-// BadAnnouncement counts and logs a heartbeat that can't be read.
+// BadAnnouncement counts and logs a heartbeat that cannot be decoded.
 func (a *Agent) BadAnnouncement(err error) {
 	a.loop.do(a.ctx, func(time.Duration) { a.agent.Count.BadAnnouncements++ })
 	a.log.Add(events.AnnouncementRefused, slog.String("error", err.Error()))
 }
 
-// probeTimeout bounds a try of the upstream's address on the same VM. A refusal comes
-// at once; one that takes no connection proves nothing.
+// probeTimeout limits a connection attempt to the upstream, which runs on the same VM.
+// A refusal arrives immediately; an attempt that times out proves nothing.
 const probeTimeout = 100 * time.Millisecond
 
-// probe finds out whether anything listens where the upstream should.
+// probe checks whether a process listens on the upstream's address and passes the result
+// to the agent.
 func (a *Agent) probe() {
 	d := net.Dialer{Timeout: probeTimeout}
 	c, err := d.DialContext(a.ctx, "tcp4", a.settings.Upstream.String())
@@ -117,10 +118,11 @@
 	a.loop.do(a.ctx, func(now time.Duration) { a.agent.Probed(p, now) })
 }
 
-// leaveDelay lets balancers hear that the agent stops before it does.
+// leaveDelay is the time between the agent's last status message and its exit, so that
+// balancers receive the message before the agent stops.
 const leaveDelay = 50 * time.Millisecond
 
-// Run serves until stopped ends, then leaves.
+// Run serves until stopped is done, then notifies the balancers and returns.
 func (a *Agent) Run(stopped context.Context) error {
 	defer a.cancel()
 	a.log.Add(events.Started, slog.String("role", string(a.role)), slog.Uint64("life", uint64(a.life)))
@@ -147,7 +149,8 @@
 	return err
 }
 
-// keepRecord writes the agent's record, and recalls what an earlier run left if there was one.
+// keepRecord writes the agent's record to the store. If the store already has a record,
+// an earlier run may have recorded that the upstream drains, and that state is restored.
 func (a *Agent) keepRecord() {
 	draining := false
 	if !a.store.put(a.ctx, a.recordName(), a.record()) {
@@ -159,7 +162,7 @@
 	a.loop.do(a.ctx, func(time.Duration) { a.agent.Recall(draining) })
 }
 
-// apply takes the store's address and the seeds from the settings.
+// apply updates the store's address from the settings and contacts the seeds.
 func (a *Agent) apply(s *platform.Settings) {
 	a.store.use(s)
 	a.loop.do(a.ctx, func(now time.Duration) {
@@ -169,8 +172,8 @@
 	})
 }
 
-// leave waits for the end and tells balancers of it. The record goes with an
-// upstream that has gone; an agent that is only restarted keeps it.
+// leave waits until the program is asked to stop and notifies the balancers. It removes
+// the agent's record if the upstream is gone; an agent that is only restarted keeps it.
 func (a *Agent) leave(stopped context.Context) error {
 	if !a.awaitStop(stopped, a.ctx) {
 		return nil
@@ -190,12 +193,13 @@
 	return nil
 }
 
-// Kill ends the program at once.
+// Kill ends the program immediately, without notifying the balancers.
 func (a *Agent) Kill() { a.cancel() }
 
-// headerTimeout bounds how long a call's head may take.
+// headerTimeout limits how long an HTTP client may take to send a request header.
 const headerTimeout = 3 * time.Second
 
+// addHTTP adds an HTTP server on the address to the group.
 func addHTTP(g *run.Group, at netip.AddrPort, h http.Handler) error {
 	l, err := net.Listen("tcp4", at.String())
 	if err != nil {
@@ -211,6 +215,7 @@
 	return nil
 }
 
+// addLog adds the goroutine that writes the log to the group.
 func addLog(g *run.Group, l *events.Log) {
 	ctx, stop := context.WithCancel(context.Background())
 	g.Add(func() error { return l.Run(ctx) }, func(error) { stop() })
--- a/node/askpeers.go
+++ b/node/askpeers.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// askAfter is how long a balancer waits for the store before it asks peers
-	// for what they know; the store answers in some milliseconds.
+	// askAfter and askEvery are the bounds of the random interval between two rounds of
+	// fetching views from peers. The first round comes after the store has had time to
+	// answer, which takes it some milliseconds.
 	askAfter = 250 * time.Millisecond
-	// askEvery spaces the rounds through the peers.
 	askEvery = 300 * time.Millisecond
 )
 
-// followPeers reads the view of other balancers while the store does not give what
-// they have: for a newborn balancer, and one that is cut off from the store.
+// followPeers fetches views from other balancers while they have a newer configuration
+// than the store has delivered. That is the case for a balancer that has just started,
+// and for one that cannot reach the store.
 func (b *Balancer) followPeers() {
 	for round := 0; ; round++ {
 		from, ok := b.nextOffer()
@@ -49,17 +50,17 @@
 		b.behind++
 		switch {
 		case have != 0 && b.behind < 2:
-			// The store's own notice is on its way.
+			// The store is about to deliver it through the watch.
 		case holder != 0 && b.behind%2 == 0:
 			b.askSoon(holder, len(ips))
 		default:
-			b.askPeer(ips, round) // the holder may be one that can't be reached
+			b.askPeer(ips, round) // the holder may be unreachable
 		}
 	}
 }
 
-// nextOffer waits for a balancer's word that it has a newer configuration, or for the
-// time of the next round, when the address is 0.
+// nextOffer waits until another process reports a newer configuration, and returns its
+// address, or 0 if the next round is due first. ok is false if the program ends.
 func (b *Balancer) nextOffer() (from datagram.IP, ok bool) {
 	t := time.NewTimer(askAfter + rand.N(askEvery-askAfter))
 	defer t.Stop()
@@ -73,17 +74,21 @@
 	}
 }
 
-// askSpread for each balancer keeps them from asking one of them all at once: it is about
-// the time in which a view is given.
+// askSpread, multiplied by the number of balancers, is the longest random delay before
+// one of them fetches a view from a peer, so that they don't all do so at once. It is
+// about the time that serving one view takes.
 const askSpread = time.Millisecond
 
-// askSoon reads the view of a balancer that has a newer configuration.
+// askSoon fetches and applies the view of a balancer that has a newer configuration,
+// after a random delay.
 func (b *Balancer) askSoon(from datagram.IP, peers int) {
 	if clock.Sleep(b.ctx, rand.N(askSpread*time.Duration(peers+1))) {
 		b.ask(netip.AddrPortFrom(from.Addr(), b.settings.View.Port()))
 	}
 }
 
+// askPeer fetches and applies the view of one of the seeds and the given balancers. The
+// round selects which one.
 func (b *Balancer) askPeer(ips []datagram.IP, round int) {
 	as := slices.Clone(b.live.Load().Seeds)
 	for _, ip := range ips {
@@ -96,7 +101,7 @@
 	b.ask(as[round%len(as)])
 }
 
-// ask takes in the view of the balancer at the address.
+// ask fetches the view of the balancer at the address and applies it.
 func (b *Balancer) ask(a netip.AddrPort) {
 	v, err := fetchView(b.ctx, b.secret, a)
 	if err != nil {
--- a/node/balancer.go
+++ b/node/balancer.go
@@ -18,7 +18,7 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// Balancer is the program of an entry VM.
+// Balancer runs on an entry VM and forwards callers' packets to the agents.
 type Balancer struct {
 	*base
 	loop     *loop
@@ -28,21 +28,23 @@
 	store    *store
 	ready    atomic.Bool
 	view     atomic.Pointer[View]
-	// newest is the latest version that any balancer has told of, and holder the one that
-	// told of it last.
+	// newest is the latest configuration version that any process has reported, and
+	// holder the process that reported it last. Only the loop uses them.
 	newest datagram.Version
 	holder datagram.IP
-	// offers are balancers that have a configuration when this one has none; one is
-	// enough.
+	// offers passes on processes that have a configuration while this balancer has none.
+	// One is enough, so others are dropped while it waits.
 	offers chan datagram.IP
+	// behind counts the rounds of followPeers since this balancer's configuration was
+	// the latest one known.
 	behind int
-	// chosen is when it was last worked out whether this balancer watches shortly.
+	// chosen is when tick last checked whether this balancer uses short watches.
 	chosen time.Duration
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// NewBalancer prepares a balancer; it opens its sockets.
+// NewBalancer creates a balancer and opens its UDP sockets.
 func NewBalancer(o Options, l *slog.Logger) (*Balancer, error) {
 	s, err := newBase(o, platform.RoleBalancer, l)
 	if err != nil {
@@ -67,7 +69,7 @@
 			b.newest, b.holder = v, from
 		}
 		if b.balancer.Configured() != 0 {
-			return // the store tells it; if that fails, the rounds do
+			return // the store delivers it; if that fails, followPeers fetches it
 		}
 		select {
 		case b.offers <- from:
@@ -75,7 +77,7 @@
 		}
 	}
 	b.view.Store(&View{})
-	b.store.watcher.Store(true) // until others are heard
+	b.store.watcher.Store(true) // until other balancers are known
 	b.balancer.Start()
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	return b, nil
@@ -103,14 +105,15 @@
 	at := b.balancer.Tick(now)
 	b.ready.Store(b.balancer.Ready())
 	if now-b.chosen >= datagram.StatusEvery {
-		// Not at each packet: it sorts the balancers, and they change with statuses.
+		// Not on each tick: Among sorts the balancers, which change only with status messages.
 		b.chosen, b.balancer.Detached = now, b.store.detached.Load()
 		b.store.watcher.Store(b.balancer.Among(watchersLeast, now))
 	}
 	return at
 }
 
-// Run serves until stopped ends, then leaves the routers' rotation and stops.
+// Run serves until stopped is done. It then reports not ready, goes on serving until the
+// routers have taken the balancer out of rotation, and returns.
 func (b *Balancer) Run(stopped context.Context) error {
 	defer b.cancel()
 	b.log.Add(events.Started, slog.String("role", string(b.role)), slog.Uint64("life", uint64(b.life)))
@@ -146,7 +149,7 @@
 	})
 }
 
-// takeConfiguration brings a configuration into force, unless a newer one is.
+// takeConfiguration applies a configuration unless a newer one is in force.
 func (b *Balancer) takeConfiguration(o platform.Object, from string) {
 	c, err := platform.DecodeConfiguration(o.Spec)
 	if err != nil {
@@ -159,7 +162,7 @@
 			return
 		}
 		if first {
-			b.balancer.Tell(now) // others that have none may ask here
+			b.balancer.Tell(now) // balancers without a configuration can fetch it from this one
 		}
 		b.updateView(func(v *View) { v.Configuration = o })
 		b.log.Add(events.ConfigurationInForce, slog.Uint64("version", uint64(c.Version)),
@@ -173,6 +176,7 @@
 	})
 }
 
+// takeEvacuations applies the evacuations as of a revision, unless later ones are known.
 func (b *Balancer) takeEvacuations(os []platform.Object, at platform.Revision, from string) {
 	b.loop.do(b.ctx, func(now time.Duration) {
 		b.updateView(func(v *View) {
@@ -186,10 +190,13 @@
 	})
 }
 
-// listEvery is how often the records of members are read again, for a tenth of
-// a call's price, in case an agent could not reach this balancer by itself.
+// listEvery is how often the member records are read again, in case an agent could not
+// reach this balancer itself. These reads accept stale data, which costs a tenth of a
+// current read.
 const listEvery = 10 * time.Second
 
+// followProcesses reads the member records at regular intervals until the program ends.
+// Only the first read has to be current.
 func (b *Balancer) followProcesses() {
 	var down bool
 	fresh := true
@@ -216,6 +223,9 @@
 	}
 }
 
+// takeMembers applies the member records, and removes those of dead members that this
+// balancer is responsible for. fresh means that the records were read from the store in
+// this run and are current; this balancer's own record is then written if it is missing.
 func (b *Balancer) takeMembers(os []platform.Object, fresh bool) {
 	var ms []datagram.Member
 	records := map[datagram.IP]platform.Object{}
@@ -246,8 +256,8 @@
 	}
 }
 
-// remove takes a dead member's record out of the store. It may have been written
-// again since it was read, which the condition on its revision shows.
+// remove deletes a dead member's record from the store. The delete is conditional on the
+// revision that was read, so it fails if the member has written its record again since.
 func (b *Balancer) remove(o platform.Object) {
 	err := b.store.client().Delete(b.ctx, platform.KindProcess, o.Meta.Name, o.Meta.Revision)
 	if err != nil {
@@ -258,17 +268,20 @@
 	b.store.removeDraining(b.ctx, o.Meta.Name)
 }
 
-// updateView changes what peers are told; it runs on the loop.
+// updateView changes the view that peers can fetch. It must run on the loop.
 func (b *Balancer) updateView(f func(*View)) {
 	v := *b.view.Load()
 	f(&v)
 	b.view.Store(&v)
 }
 
-// leaveRotation is how long a stopping balancer goes on serving: the routers ask
-// twice a second and take it out after two misses, and packets under way follow.
+// leaveRotation is how long a stopping balancer continues to serve. Routers check its
+// readiness twice a second and take it out of rotation after two failed checks, and
+// packets in flight arrive after that.
 const leaveRotation = 1600 * time.Millisecond
 
+// leave waits until the program is asked to stop, notifies the other processes, and waits
+// until routers have taken the balancer out of rotation.
 func (b *Balancer) leave(stopped context.Context) error {
 	if !b.awaitStop(stopped, b.ctx) {
 		return nil
@@ -279,5 +292,5 @@
 	return nil
 }
 
-// Kill ends the program at once.
+// Kill ends the program immediately, without notifying other processes.
 func (b *Balancer) Kill() { b.cancel() }
--- a/node/loop.go
+++ b/node/loop.go
@@ -13,7 +13,7 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// source says which socket a datagram came in at.
+// source is the socket from which a datagram was read.
 type source uint8
 
 const (
@@ -22,55 +22,58 @@
 	fromUpstream
 )
 
-// bufferLen holds a header and the longest datagram of the platform's links.
+// bufferLen fits a header and the longest datagram of the platform's network.
 const bufferLen = datagram.HeaderLen + 1500
 
-// buffer is a datagram with room for a header before it.
+// buffer holds a datagram, with free space for a header before it.
 type buffer struct {
 	b    [bufferLen]byte
-	n    int // length of the datagram, which begins at HeaderLen
+	n    int // length of the datagram, which starts at offset HeaderLen
 	from netip.AddrPort
 	at   source
-	came time.Duration // when it was read
+	came time.Duration // when the datagram was read
 }
 
-// message returns the datagram as a message of another process.
+// message returns the datagram, as a message from another process.
 func (b *buffer) message() []byte { return b.b[datagram.HeaderLen : datagram.HeaderLen+b.n] }
 
-// packet returns the datagram as a packet with room for a header before it.
+// packet returns the datagram, as a packet that follows free space for a header.
 func (b *buffer) packet() []byte { return b.b[:datagram.HeaderLen+b.n] }
 
-// loop is the one goroutine that owns the decisions; readers and other duties hand it
-// their events through two bounded rings.
+// loop is an event loop: a single goroutine makes all decisions. Socket readers and other
+// goroutines pass events to it through two bounded queues, one for callers' datagrams and
+// one for internal events, which are all others.
 //
-// What the fleet says goes before what callers send: it ends work that was begun, and a
-// balancer that takes on more than it can end repeats itself and ends nothing. A reader
-// that finds the fleet's ring full waits, and the kernel then drops datagrams. Of callers
-// those that have waited too long are dropped, as they are repeated soon.
+// Internal events take precedence, because messages of the fleet complete work that has
+// been started. A balancer that starts more than it can complete only repeats itself and
+// completes nothing. A reader that finds the internal queue full blocks, and the kernel
+// then drops datagrams. Callers' datagrams that have waited too long are dropped, because
+// callers soon send them again.
 type loop struct {
 	start   time.Time
 	events  chan any
 	callers chan *buffer
 	free    chan *buffer
-	// broken counts datagrams that could not be sent, dropped those of callers that
-	// were dropped.
+	// broken counts failed reads and writes of datagrams, dropped the callers' datagrams
+	// that were dropped from the queue.
 	broken, dropped atomic.Uint64
 }
 
 const (
-	// ringLen bounds the events that wait, and callersLen the datagrams of callers: what
-	// a large VM handles before they are too old.
+	// ringLen is the capacity of the internal queue, and callersLen that of the queue of
+	// callers' datagrams: as many as a large VM handles before they are too old.
 	ringLen    = 64
 	callersLen = 512
-	// callersPatience is how long a datagram of a caller may wait: half the time after
-	// which callers repeat themselves.
+	// callersPatience is how long a caller's datagram may wait: half the time after which
+	// callers retransmit.
 	callersPatience = 100 * time.Millisecond
-	// fleetTurn is how many events of the fleet go before a datagram of a caller if both
-	// wait, so that neither stops the other.
+	// fleetTurn is how many internal events are handled before one datagram of a caller
+	// if both queues are filled, so that neither starves the other.
 	fleetTurn = 8
 )
 
-// beforeTick bounds the events that are handled before it is judged what is overdue.
+// beforeTick limits the events that are handled between two ticks. Ticks check what is
+// overdue.
 const beforeTick = 16
 
 func newLoop() *loop {
@@ -80,8 +83,10 @@
 	}
 }
 
+// now returns the time since the loop was created.
 func (l *loop) now() time.Duration { return time.Since(l.start) }
 
+// buffer returns a released buffer, or a new one.
 func (l *loop) buffer() *buffer {
 	select {
 	case b := <-l.free:
@@ -91,6 +96,7 @@
 	}
 }
 
+// release makes a buffer available for reuse.
 func (l *loop) release(b *buffer) {
 	select {
 	case l.free <- b:
@@ -98,8 +104,8 @@
 	}
 }
 
-// do runs f on the loop and waits for it. It is false if the context ended first; f may
-// then run still, so nothing that it writes may be read.
+// do runs f on the loop and waits for it. It returns false if the context ends first. f
+// may then still run, so the caller must not read anything that f writes.
 func (l *loop) do(ctx context.Context, f func(now time.Duration)) bool {
 	done := make(chan struct{})
 	select {
@@ -115,9 +121,11 @@
 	}
 }
 
-// handler is what the loop runs.
+// handler handles the events of a loop.
 type handler interface {
+	// datagram handles a datagram, whose buffer is reused afterwards.
 	datagram(b *buffer, now time.Duration)
+	// tick handles what is due and returns the time of the next tick.
 	tick(now time.Duration) time.Duration
 }
 
@@ -144,7 +152,7 @@
 		}
 		l.handle(e, h)
 		if sinceTick++; sinceTick < beforeTick && len(l.events) > 0 {
-			continue // what waits may be the answer that is overdue
+			continue // an event in the queue may be the answer that a tick considers overdue
 		}
 		sinceTick = 0
 		if at := h.tick(l.now()); at < next {
@@ -155,8 +163,8 @@
 	return nil
 }
 
-// first returns what is next of the events that wait, or nil. The turn counts the events
-// of the fleet since the last datagram of a caller.
+// first returns the next event of the two queues, or nil if both are empty. turn counts
+// the internal events since the last datagram of a caller.
 func (l *loop) first(turn *int) any {
 	if *turn < fleetTurn {
 		select {
@@ -180,11 +188,13 @@
 	}
 }
 
+// drop counts and releases a caller's datagram that is not handled.
 func (l *loop) drop(b *buffer) {
 	l.dropped.Add(1)
 	l.release(b)
 }
 
+// handle passes a datagram to the handler, or calls a function that do has queued.
 func (l *loop) handle(e any, h handler) {
 	switch e := e.(type) {
 	case *buffer:
@@ -195,15 +205,16 @@
 	}
 }
 
-// read hands the socket's datagrams to the loop until the socket is closed.
+// read adds the socket's datagrams to the internal queue until the socket is closed.
 func (l *loop) read(c *net.UDPConn, at source) error {
 	return l.readTo(c, at, func(b *buffer) { l.events <- b })
 }
 
-// readCallers does so with those of callers.
+// readCallers adds the socket's datagrams to the queue of callers' datagrams until the
+// socket is closed.
 func (l *loop) readCallers(c *net.UDPConn) error { return l.readTo(c, fromCaller, l.addCaller) }
 
-// addCaller hands over a datagram of a caller, in place of the oldest if the ring is full.
+// addCaller queues a caller's datagram. If the queue is full, it drops the oldest one.
 func (l *loop) addCaller(b *buffer) {
 	for {
 		select {
@@ -219,6 +230,7 @@
 	}
 }
 
+// readTo calls add for each datagram of the socket until the socket is closed.
 func (l *loop) readTo(c *net.UDPConn, at source, add func(*buffer)) error {
 	for {
 		b := l.buffer()
@@ -227,7 +239,7 @@
 			return nil
 		}
 		if err != nil {
-			l.broken.Add(1) // such as a refused datagram that was sent before
+			l.broken.Add(1) // for example because a datagram sent earlier was refused
 			l.release(b)
 			continue
 		}
@@ -236,22 +248,24 @@
 	}
 }
 
-// send writes a datagram. What can't be sent is lost as on the way, and counted.
+// send writes a datagram. A failure is counted and otherwise treated like a datagram lost
+// on the network.
 func (l *loop) send(c *net.UDPConn, p []byte, to netip.AddrPort) {
 	if _, err := c.WriteToUDPAddrPort(p, to); err != nil {
 		l.broken.Add(1)
 	}
 }
 
-// socketBuffer rides out a pause of some milliseconds; what waits unread counts
-// as the process's memory.
+// socketBuffer is the size of a socket's receive buffer. It absorbs pauses of some
+// milliseconds; unread datagrams count towards the memory of the process.
 const socketBuffer = 1 << 20
 
+// listenUDP opens a UDP socket on the address.
 func listenUDP(a netip.AddrPort) (*net.UDPConn, error) {
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(a))
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen on %v", a)
 	}
-	c.SetReadBuffer(socketBuffer) // a smaller one than asked for is no fault
+	c.SetReadBuffer(socketBuffer) // the kernel may grant less, which is acceptable
 	return c, nil
 }
--- a/node/loop_test.go
+++ b/node/loop_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// orderly notes the order in which a loop handles datagrams.
+// orderly is a handler that records the order of datagrams and stops the loop after the
+// last one.
 type orderly struct {
 	order []source
 	stop  context.CancelFunc
@@ -23,8 +24,8 @@
 
 func (o *orderly) tick(now time.Duration) time.Duration { return now + time.Hour }
 
-// Guards against a balancer that is full of callers' datagrams and reads no answer of an
-// agent in time, so that all that it begins is begun again elsewhere.
+// Guards against a balancer that is busy with callers' datagrams and handles the answers
+// of agents too late, so that every flow that it starts to open is started again elsewhere.
 func TestFleetGoesBeforeCallers(t *testing.T) {
 	l := newLoop()
 	for range 2 * fleetTurn {
@@ -41,27 +42,27 @@
 	for i, at := range o.order {
 		callers := i == fleetTurn || i > 2*fleetTurn
 		if (at == fromCaller) != callers {
-			t.Fatalf("handled in the order %v", o.order)
+			t.Fatalf("datagrams were handled in the order %v", o.order)
 		}
 	}
 }
 
-// Guards against a queue of callers' datagrams in which each is answered when its caller
-// has given up.
+// Guards against a full queue that keeps the oldest datagrams, so that each is answered
+// only after its caller has given up.
 func TestOldestDatagramOfACallerIsDropped(t *testing.T) {
 	l := newLoop()
 	for i := range callersLen + 5 {
 		l.addCaller(&buffer{n: i})
 	}
 	if n := l.dropped.Load(); n != 5 {
-		t.Errorf("%d were dropped", n)
+		t.Errorf("%d datagrams were dropped", n)
 	}
 	if b := <-l.callers; b.n != 5 {
-		t.Errorf("datagram %d is next", b.n)
+		t.Errorf("the next datagram is number %d", b.n)
 	}
 }
 
-// Guards against a queue of which all is handled, and all too late.
+// Guards against a loop that handles every queued datagram, each of them too late.
 func TestDatagramThatHasWaitedTooLongIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLoop()
@@ -70,12 +71,12 @@
 		l.addCaller(&buffer{n: 2, came: l.now()})
 		turn := 0
 		if b, ok := l.first(&turn).(*buffer); !ok || b.n != 2 || l.dropped.Load() != 1 {
-			t.Errorf("next is %+v after %d that were dropped", b, l.dropped.Load())
+			t.Errorf("the next datagram is %+v after %d dropped ones", b, l.dropped.Load())
 		}
 	})
 }
 
-// Guards against a loop that is never stopped while datagrams come without end.
+// Guards against a loop that does not stop while datagrams keep arriving.
 func TestBusyLoopStops(t *testing.T) {
 	l := newLoop()
 	ctx, stop := context.WithCancel(t.Context())
@@ -85,6 +86,6 @@
 	}
 	o := &orderly{stop: stop}
 	if err := l.run(ctx, o); err != nil || len(o.order) > 0 {
-		t.Errorf("%v after %d datagrams", err, len(o.order))
+		t.Errorf("the loop returned %v after %d datagrams", err, len(o.order))
 	}
 }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -17,10 +17,10 @@
 // metricsEvery is how often counters are copied to the metrics.
 const metricsEvery = 5 * time.Second
 
-// histograms are the times that programs observe.
+// histograms holds a histogram of durations for each kind of observation.
 type histograms [datagram.ObservationCount]tally.Histogram
 
-// buckets go from what a handshake takes to beyond a caller's patience.
+// buckets range from the duration of a handshake to more than a caller waits.
 var buckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 13)
 
 func newHistograms(s tally.Scope) (h histograms) {
@@ -30,10 +30,11 @@
 	return h
 }
 
-// observe notes a time; it runs on the loop and allocates nothing.
+// observe records a duration. It runs on the loop and does not allocate.
 func (b *base) observe(o datagram.Observation, d time.Duration) { b.times[o].RecordDuration(d) }
 
-// addMetrics serves /metrics, /state and /version. Status runs on the loop.
+// addMetrics adds to the group the copying of counters to the metrics, and a server for
+// /metrics and /state if it is configured. status is called on the loop.
 func (b *base) addMetrics(g *run.Group, l *loop, status func() any) error {
 	ctx, stop := context.WithCancel(context.Background())
 	ask := func() (v any) {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -21,12 +21,14 @@
 	"pomeloway.example/pomeloway/standin"
 )
 
+// testStore returns a store that is served by the handler.
 func testStore(h http.Handler) *store {
 	s := &store{log: &events.Log{}}
 	s.current.Store(&platform.Client{URL: "http://platform", HTTP: &http.Client{Transport: standin.Wire{Handler: h}}, Timeout: storeTimeout})
 	return s
 }
 
+// put creates an object in the store.
 func put(t *testing.T, s *store, k platform.Kind, name string) platform.Object {
 	t.Helper()
 	o, err := s.client().Create(t.Context(), k, name, struct{}{})
@@ -36,8 +38,8 @@
 	return o
 }
 
-// deaf is a store that forgets to tell one watch of a change, as the platform's
-// does when it drops its history.
+// deaf is a store whose watches report no change while deaf is true, as watches of the
+// platform's store do when it drops its history.
 type deaf struct {
 	*standin.Platform
 	deaf atomic.Bool
@@ -51,7 +53,8 @@
 	d.Platform.ServeHTTP(w, r)
 }
 
-// Guards against a change that a watch misses, as the store drops its history.
+// Guards against a change that is never applied because the store dropped its history
+// during a watch.
 func TestFollowFindsAChangeThatItsWatchMissed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &deaf{Platform: &standin.Platform{}}
@@ -84,12 +87,12 @@
 		stop()
 		<-done
 		if known["zone-a"] > 1100*time.Millisecond || known["zone-b"] == 0 || known["zone-b"]-changed > watchShort+storeTimeout {
-			t.Errorf("known after %v", known)
+			t.Errorf("objects were known after %v", known)
 		}
 	})
 }
 
-// Guards against many calls to a store that is down.
+// Guards against frequent calls to a store that is down.
 func TestFollowIsPatientWithAStoreThatIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &standin.Platform{}
@@ -103,19 +106,19 @@
 		}()
 		time.Sleep(10 * time.Minute)
 		if n := p.Counts().Reads; n > 10*60*2 {
-			t.Errorf("%d calls in ten minutes", n)
+			t.Errorf("%d reads in ten minutes", n)
 		}
 		stop()
 		<-done
 	})
 }
 
-// Guards against openings at an upstream that drains, as its agent was started again and
-// has forgotten, also if the store is away at that moment.
+// Guards against an agent that has lost its state in a restart and opens flows at a
+// draining upstream, also if the store is down during the restart.
 func TestDrainingUpstreamIsRecalled(t *testing.T) {
 	for name, x := range map[string]struct {
 		before func(context.Context, *store)
-		away   time.Duration
+		away   time.Duration // how long the store is down after the restart
 		want   bool
 	}{
 		"recorded": {func(ctx context.Context, s *store) { s.putDraining(ctx, "agent-10.0.0.1", platform.Draining{}) }, 0, true},
@@ -123,9 +126,9 @@
 			s.putDraining(ctx, "agent-10.0.0.1", platform.Draining{})
 			s.putDraining(ctx, "agent-10.0.0.1", platform.Draining{})
 		}, 0, true},
-		"store away": {func(ctx context.Context, s *store) { s.putDraining(ctx, "agent-10.0.0.1", platform.Draining{}) }, 5 * time.Second, true},
-		"of another": {func(ctx context.Context, s *store) { s.putDraining(ctx, "agent-10.0.0.2", platform.Draining{}) }, 0, false},
-		"has ended": {func(ctx context.Context, s *store) {
+		"store down":              {func(ctx context.Context, s *store) { s.putDraining(ctx, "agent-10.0.0.1", platform.Draining{}) }, 5 * time.Second, true},
+		"other upstream recorded": {func(ctx context.Context, s *store) { s.putDraining(ctx, "agent-10.0.0.2", platform.Draining{}) }, 0, false},
+		"record removed": {func(ctx context.Context, s *store) {
 			s.putDraining(ctx, "agent-10.0.0.1", platform.Draining{})
 			s.removeDraining(ctx, "agent-10.0.0.1")
 		}, 0, false},
@@ -140,14 +143,15 @@
 				time.AfterFunc(x.away, func() { p.Set(standin.Faults{}) })
 				found, ok := s.draining(t.Context(), "agent-10.0.0.1")
 				if found != x.want || !ok {
-					t.Errorf("found %t, read %t", found, ok)
+					t.Errorf("found is %t, ok is %t", found, ok)
 				}
 			})
 		})
 	}
 }
 
-// Guards against the record of an earlier VM that stays, and against many writes.
+// Guards against the record of an earlier VM at the same address that stays in the store,
+// against repeated writes of one record, and against a process that removes another's record.
 func TestRecordIsPutWhateverWasThere(t *testing.T) {
 	mine := platform.Process{Address: "10.0.0.1", Role: platform.RoleAgent, Zone: "a", Service: "letters"}
 	other := mine
@@ -156,8 +160,8 @@
 		before *platform.Process
 		lost   int
 	}{
-		"nothing there": {nil, 0}, "answer lost": {nil, 1}, "mine already": {&mine, 0},
-		"another's": {&other, 0}, "another's, answers lost": {&other, 2},
+		"no record": {nil, 0}, "answer lost": {nil, 1}, "own record": {&mine, 0},
+		"record of another process": {&other, 0}, "record of another process, answers lost": {&other, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -170,41 +174,42 @@
 				}
 				p.Set(standin.Faults{LoseAnswers: x.lost})
 				if s.put(t.Context(), "agent-10.0.0.1", mine) && x.before != nil {
-					t.Error("took an earlier run's record for its own")
+					t.Error("an earlier run's record was reported as created")
 				}
 				p.Set(standin.Faults{})
 				o, err := s.client().Get(t.Context(), platform.KindProcess, "agent-10.0.0.1")
 				var got platform.Process
 				if err != nil || json.Unmarshal(o.Spec, &got) != nil || got != mine {
-					t.Errorf("%+v, %v", got, err)
+					t.Errorf("the record is %+v, error %v", got, err)
 				}
 				s.remove(t.Context(), "agent-10.0.0.1", other)
 				if _, err := s.client().Get(t.Context(), platform.KindProcess, "agent-10.0.0.1"); err != nil {
-					t.Error("removed by a process that it is not of")
+					t.Error("the record was removed by a process that does not own it")
 				}
 				s.remove(t.Context(), "agent-10.0.0.1", mine)
 				if _, err := s.client().Get(t.Context(), platform.KindProcess, "agent-10.0.0.1"); !errors.Is(err, platform.ErrNotFound) {
-					t.Error("not removed")
+					t.Error("the record was not removed by its owner")
 				}
 			})
 		})
 	}
 }
 
-// Guards against views that are given to strangers, or taken from them.
+// Guards against views that are served to clients, or accepted from servers, that don't
+// have the fleet's key.
 func TestViewsStayInTheFleet(t *testing.T) {
 	key, stranger := []byte("of the fleet"), []byte("of another")
 	want := View{EvacuationsAt: 9}
 	for name, x := range map[string]struct {
 		server, client []byte
 		ok             bool
-	}{"same key": {key, key, true}, "stranger asks": {key, stranger, false}, "stranger answers": {stranger, key, false}} {
+	}{"same key": {key, key, true}, "client with another key": {key, stranger, false}, "server with another key": {stranger, key, false}} {
 		t.Run(name, func(t *testing.T) {
 			s := httptest.NewServer(viewHandler(x.server, func() View { return want }))
 			defer s.Close()
 			v, err := fetchView(t.Context(), x.client, netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://")))
 			if (err == nil) != x.ok || x.ok && v.EvacuationsAt != 9 {
-				t.Errorf("%+v, %v", v, err)
+				t.Errorf("the fetched view is %+v, error %v", v, err)
 			}
 		})
 	}
@@ -212,7 +217,7 @@
 	w := httptest.NewRecorder()
 	viewHandler(key, func() View { return want }).ServeHTTP(w, r)
 	if w.Code != http.StatusForbidden {
-		t.Errorf("status %d without a nonce", w.Code)
+		t.Errorf("a request without a nonce got status %d", w.Code)
 	}
 }
 
@@ -227,7 +232,8 @@
 address = "127.0.0.1:8169"
 `
 
-// Guards against settings with a mistake that are taken, or that keep the next from being.
+// Guards against invalid settings that are applied, or that prevent later valid ones from
+// being applied.
 func TestBadSettingsChangeNothing(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	write := func(text string) {
@@ -258,27 +264,28 @@
 	}
 }
 
+// Guards against errors on options that don't say which flag is wrong.
 func TestOptionsNameWhatIsWrong(t *testing.T) {
 	for name, x := range map[string]struct {
 		o    Options
 		want []string
 	}{
-		"nothing given": {Options{}, []string{"--settings", "--keys"}},
-		"bad key":       {Options{Settings: "f", Keys: []string{"1:short"}}, []string{"--keys"}},
-		"lines":         {Options{Settings: "f", Keys: []string{"1:9ow6wBZbFi9UENcfCNG3G_2_cuAmtEZM_WKjhHMBOf0"}, Lines: -1}, []string{"--lines"}},
+		"no options": {Options{}, []string{"--settings", "--keys"}},
+		"bad key":    {Options{Settings: "f", Keys: []string{"1:short"}}, []string{"--keys"}},
+		"lines":      {Options{Settings: "f", Keys: []string{"1:9ow6wBZbFi9UENcfCNG3G_2_cuAmtEZM_WKjhHMBOf0"}, Lines: -1}, []string{"--lines"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := x.o.Validate()
 			for _, w := range x.want {
 				if err == nil || !strings.Contains(err.Error(), w) {
-					t.Errorf("no finding for %s: %v", w, err)
+					t.Errorf("the error does not name %s: %v", w, err)
 				}
 			}
 		})
 	}
 }
 
-// Guards against first reads that wait for answers which a silent store never gives.
+// Guards against a first read that waits too long on a call that the store never answers.
 func TestSilentStoreIsReadSoonAfterItsReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &standin.Platform{}
@@ -309,28 +316,29 @@
 		stop()
 		<-done
 		if read == 0 || read > 1600*time.Millisecond {
-			t.Errorf("read %v after the start", read)
+			t.Errorf("the first read succeeded %v after the start", read)
 		}
 	})
 }
 
-// Guards against allocations after each packet.
+// Guards against a tick that allocates memory, because it runs after each packet.
 func TestTickAfterAPacketDoesNotAllocate(t *testing.T) {
 	b := &Balancer{store: &store{}, balancer: &datagram.Balancer{Self: 1}}
 	b.balancer.Start()
 	if n := testing.AllocsPerRun(100, func() { b.tick(datagram.StatusEvery / 2) }); n > 0 {
-		t.Errorf("%v allocations a tick", n)
+		t.Errorf("%v allocations per tick", n)
 	}
 }
 
-// Guards against a balancer that is cut off from the store and is believed to watch it.
+// Guards against a balancer that cannot reach the store and is still counted among those
+// that watch it.
 func TestStoreThatDoesNotAnswerIsNoted(t *testing.T) {
 	s := testStore(nil)
 	var down bool
 	for _, x := range []error{nil, platform.ErrDown, nil} {
 		s.lost(&down, platform.KindConfiguration, x)
 		if s.detached.Load() != (x != nil) {
-			t.Errorf("after %v: detached %t", x, s.detached.Load())
+			t.Errorf("after a call with error %v, detached is %t", x, s.detached.Load())
 		}
 	}
 }
--- a/node/offer_test.go
+++ b/node/offer_test.go
@@ -10,8 +10,9 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// Guards against balancers without a configuration that wait for their rounds while one has
-// it. The second balancer can reach neither store nor seeds, so that only the offer is left.
+// Guards against balancers without a configuration that wait for their next round although
+// another balancer has one. The second balancer can reach neither the store nor seeds, so
+// that it can get the configuration only from the balancer that offers it.
 func TestFirstConfigurationIsPassedOn(t *testing.T) {
 	s := newSite(t)
 	first, err := NewBalancer(s.options(balancerIP), nil)
@@ -24,7 +25,7 @@
 		b.loop.do(t.Context(), func(time.Duration) { v <- b.balancer.Configured() })
 		return <-v
 	}
-	s.eventually("configuration of the store", func() bool { return configured(first) == 3 })
+	s.eventually("configuration from the store", func() bool { return configured(first) == 3 })
 	o := s.options("127.0.0.12")
 	second, err := NewBalancer(o, nil)
 	if err != nil {
@@ -36,14 +37,15 @@
 	second.live.Store(&seedless)
 	defer s.run(second)()
 	if v := configured(second); v != 0 {
-		t.Fatalf("version %d without store, seeds or offer", v)
+		t.Fatalf("the balancer has version %d without store, seeds or offer", v)
 	}
 	second.loop.do(t.Context(), func(time.Duration) { second.balancer.Behind(first.self(), 3) })
-	s.eventually("configuration of the other balancer", func() bool { return configured(second) == 3 })
+	s.eventually("configuration from the other balancer", func() bool { return configured(second) == 3 })
 }
 
-// mustCatchUp has a balancer with an old configuration, which the store does not answer
-// and which has the seeds, told of a newer one by another, and waits until it has it.
+// mustCatchUp runs a balancer that has an old configuration, the given seeds and no store.
+// It repeatedly reports a newer configuration of another balancer to it, and fails the test
+// unless the balancer obtains that configuration.
 func mustCatchUp(t *testing.T, seeds func([]netip.AddrPort) []netip.AddrPort) {
 	t.Helper()
 	s := newSite(t)
@@ -71,14 +73,15 @@
 	})
 }
 
-// Guards against rounds that never come, as each word of others begins the wait anew.
+// Guards against rounds that never start because each report of a newer configuration
+// restarts the wait for the next round.
 func TestWordsOfOthersDoNotHoldUpARound(t *testing.T) {
 	mustCatchUp(t, func(s []netip.AddrPort) []netip.AddrPort { return s })
 }
 
-// Guards against a configuration that comes late to a balancer whose watch missed it, as
-// it asks others in their order, of which many do not answer, and not the one that told
-// of it.
+// Guards against a balancer that missed a configuration in its watch and gets it late. This
+// happens if it asks its peers in turn, many of which don't answer, and not the one that
+// reported the configuration.
 func TestHolderOfANewerConfigurationIsAsked(t *testing.T) {
 	mustCatchUp(t, func([]netip.AddrPort) []netip.AddrPort {
 		return slices.Repeat([]netip.AddrPort{netip.MustParseAddrPort("127.0.0.13:1")}, 1000)
--- a/node/options.go
+++ b/node/options.go
@@ -1,6 +1,6 @@
-// Package node runs the balancer and the agent of datagram services on the VMs
-// of the users' platform: sockets, the store, settings and signals around the
-// decisions of package datagram.
+// Package node implements the balancer and agent programs of datagram services on the VMs
+// of the users' platform. It provides the sockets, the access to the platform's store,
+// the settings and the signal handling; package datagram makes the decisions.
 package node
 
 import (
@@ -20,19 +20,19 @@
 	"pomeloway.example/pomeloway/settings"
 )
 
-// Options are the settings of a datagram balancer or agent that the platform's
-// settings file does not hold.
+// Options are the command-line options of a datagram balancer or agent: the settings that
+// are not in the platform's settings file.
 type Options struct {
 	Settings string   `help:"The platform's settings file of this VM." required:"" env:"POMELOWAY_BOOT" type:"path" placeholder:"FILE" group:"Place"`
 	Keys     []string `help:"Fleet keys as id:secret, from pomeloway key new." required:"" env:"POMELOWAY_KEYS" group:"Keys"`
 	Metrics  uint16   `help:"Port of /metrics and /state; 0 for none." default:"9464" env:"POMELOWAY_METRICS" group:"Addresses"`
-	Lines    int      `help:"Most log lines a second on flows and requests; the rest is counted." default:"200" env:"POMELOWAY_LOG_LINES" group:"Logs"`
+	Lines    int      `help:"Maximum number of log lines per second on flows and requests; further ones are only counted." default:"200" env:"POMELOWAY_LOG_LINES" group:"Logs"`
 }
 
-// Validate returns all that is wrong with the settings, each with its flag.
+// Validate returns all invalid options as one error, each with its flag.
 func (o *Options) Validate() error {
 	var f settings.Faults
-	f.Want(o.Settings != "", "--settings", "is missing; the platform gives its path")
+	f.Want(o.Settings != "", "--settings", "is missing; the platform provides the path")
 	f.Want(len(o.Keys) > 0, "--keys", "is missing; `pomeloway key new` makes one")
 	_, err := keyring.Parse(o.Keys)
 	f.Err("--keys", err)
@@ -40,16 +40,16 @@
 	return f.All()
 }
 
-// base is what both programs share.
+// base holds what the balancer and the agent have in common.
 type base struct {
 	options  Options
 	role     platform.Role
-	settings *platform.Settings // as at the start
-	live     atomic.Pointer[platform.Settings]
+	settings *platform.Settings                // as loaded at the start
+	live     atomic.Pointer[platform.Settings] // as loaded last
 	keys     link.Keys
-	secret   []byte
+	secret   []byte // authenticates views
 	log      *events.Log
-	life     datagram.Life
+	life     datagram.Life // random ID of this run
 	metrics  *metrics.Metrics
 	times    histograms
 }
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	if l != nil {
-		l = l.With(slog.String("node", s.Node)) // logs of many processes are read together
+		l = l.With(slog.String("node", s.Node)) // the logs of many processes are read together
 	}
 	b := &base{options: o, role: r, settings: s, keys: link.NewKeys(ring), log: events.NewLog(l), life: datagram.Life(rand.Uint64())}
 	b.live.Store(s)
@@ -74,8 +74,8 @@
 	return b, nil
 }
 
-// awaitStop waits until the program is told to stop, and logs that. It is false if the
-// program ended before.
+// awaitStop waits until the program is asked to stop and logs it. It returns false if the
+// program ends first.
 func (b *base) awaitStop(stopped, ended context.Context) bool {
 	select {
 	case <-stopped.Done():
@@ -86,16 +86,19 @@
 	}
 }
 
+// self returns the address of this process.
 func (b *base) self() datagram.IP { return datagram.IPOf(b.settings.IP) }
 
-// record is what the store keeps of this process.
+// record returns the record of this process in the store.
 func (b *base) record() platform.Process {
 	return platform.Process{Address: b.settings.IP.String(), Role: b.role, Zone: b.settings.Zone, Service: b.settings.Service}
 }
 
+// recordName returns the name of this process's record in the store.
 func (b *base) recordName() string { return fmt.Sprintf("%s-%s", b.role, b.settings.IP) }
 
-// metricsAddress is where metrics are served, or not valid for none.
+// metricsAddress returns the address at which metrics are served, or the zero AddrPort if
+// they are not served.
 func (b *base) metricsAddress() netip.AddrPort {
 	if b.options.Metrics == 0 {
 		return netip.AddrPort{}
--- a/node/relay_bench_test.go
+++ b/node/relay_bench_test.go
@@ -13,7 +13,8 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// toSink sends everything to one address, as an agent's would be.
+// toSink is a balancer's output that sends all messages to one address, which takes the
+// place of an agent.
 type toSink struct {
 	c  *net.UDPConn
 	to netip.AddrPort
@@ -22,9 +23,9 @@
 func (s *toSink) ToProcess(_ datagram.IP, m []byte) { s.c.WriteToUDPAddrPort(m, s.to) }
 func (s *toSink) ToCaller(datagram.IP, []byte)      {}
 
-// BenchmarkRelay times what a balancer does with a packet of an open flow, from the
-// read to the write, beside a bare relay in the same run. Both have the same two
-// system calls; the ratio of their packets a second is reported.
+// BenchmarkRelay measures how long a balancer takes for a packet of an open flow, from the
+// read to the write, and compares it with a plain relay in the same run. Both make the same
+// two system calls. The reported ratio is that of their packets per second.
 func BenchmarkRelay(b *testing.B) {
 	open := func() *net.UDPConn {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -45,7 +46,7 @@
 	service := datagram.ServiceKeyOf("letters")
 	address := datagram.EndpointOf(netip.MustParseAddrPort("198.18.0.1:443"))
 	x.SetConfiguration(&datagram.Configuration{Version: 1, Routes: map[datagram.Endpoint]datagram.Route{address: {Shares: []datagram.Share{{Service: service, Weight: 1}}}}})
-	// An agent says that the flow is with it, so that the balancer remembers.
+	// A message of an agent that has the flow, so that the balancer records the flow's agent.
 	packet := append(testPacket("127.0.0.31:40001", "198.18.0.1:443", 2, 1, 2), make([]byte, 600)...)
 	packet[29], packet[30] = 600>>8, 600&0xff
 	mine := make([]byte, datagram.HeaderLen, datagram.HeaderLen+12)
@@ -69,7 +70,7 @@
 	var spent [2]time.Duration
 	rest := make([]byte, bufferLen)
 	for seq := uint32(2); b.Loop(); seq++ {
-		binary.BigEndian.PutUint32(packet, seq) // a caller that repeats itself is looked for
+		binary.BigEndian.PutUint32(packet, seq) // a repeated packet would cause a lookup
 		for i, f := range []func(){bare, ours} {
 			caller.WriteToUDPAddrPort(packet, at(relay))
 			t := time.Now()
@@ -82,6 +83,6 @@
 	b.ReportMetric(float64(spent[1].Nanoseconds())/float64(b.N), "ns/packet")
 	b.ReportMetric(float64(spent[0])/float64(spent[1]), "ratio")
 	if x.Count.Packets == 0 || x.Count.Lookups > 0 {
-		b.Errorf("the flow was not remembered: %+v", x.Count)
+		b.Errorf("the balancer did not record the flow's agent: %+v", x.Count)
 	}
 }
--- a/node/reload.go
+++ b/node/reload.go
@@ -12,14 +12,14 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// settingsEvery is how often the settings file is looked at, as it may change
-// without a signal; a look costs one system call.
+// settingsEvery is how often the settings file is checked, because it may change without
+// a signal. A check costs one system call.
 const settingsEvery = 2 * time.Second
 
-// watchSettings applies the settings file at SIGHUP and when it has changed.
+// watchSettings applies the settings file on SIGHUP and when the file has changed.
 //
-// Without a handler SIGHUP would end the process, and a zone's reload all its balancers at
-// the same moment.
+// Without a handler, SIGHUP would end the process, and a reload of a whole zone would end
+// all its balancers at once.
 func (b *base) watchSettings(ctx context.Context, apply func(*platform.Settings)) error {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGHUP)
@@ -42,16 +42,17 @@
 	}
 }
 
+// modified returns the modification time of the file, or the zero time if it cannot be read.
 func modified(path string) time.Time {
 	i, err := os.Stat(path)
 	if err != nil {
-		return time.Time{} // a file that is being replaced is looked at again
+		return time.Time{} // a file that is being replaced shows as modified at the next check
 	}
 	return i.ModTime()
 }
 
-// reload applies the file if it is valid. What a process can't change while it
-// runs, such as its addresses, stays as it is until the next start.
+// reload applies the settings file if it is valid. Settings that cannot change while the
+// process runs, such as its addresses, take effect at the next start.
 func (b *base) reload(apply func(*platform.Settings)) {
 	s, err := platform.LoadSettings(b.options.Settings, b.role)
 	if err != nil {
--- a/node/site_test.go
+++ b/node/site_test.go
@@ -19,9 +19,9 @@
 	"pomeloway.example/pomeloway/standin"
 )
 
-// site is one balancer and one agent with real sockets on loopback, a stand-in of
-// the store, and the test as upstream and caller. Every VM has an address of its
-// own and all the same ports, as on the platform.
+// site is the environment of one balancer and one agent with real sockets on the loopback
+// interface: a simulated store, and sockets with which the test acts as upstream and caller.
+// Each VM has its own address and all have the same ports, as on the platform.
 type site struct {
 	t        *testing.T
 	store    *httptest.Server
@@ -35,11 +35,12 @@
 	agentIP    = "127.0.0.21"
 	callerIP   = "127.0.0.31"
 	testKey    = "1:9ow6wBZbFi9UENcfCNG3G_2_cuAmtEZM_WKjhHMBOf0"
-	// patience is far over what a step takes, so that a busy machine is no failure.
+	// patience limits a step of a test. It is far longer than a step takes, so that tests
+	// don't fail on a busy machine.
 	patience = 30 * time.Second
 )
 
-// freePorts finds ports that are free on every address of the site.
+// freePorts returns a port for each name that is free on every address of the site.
 func freePorts(t *testing.T, names ...string) map[string]uint16 {
 	out := map[string]uint16{}
 	for _, n := range names {
@@ -53,6 +54,8 @@
 	return out
 }
 
+// newSite starts the simulated store with a configuration, and opens the sockets of the
+// upstream and the caller.
 func newSite(t *testing.T) *site {
 	s := &site{t: t, store: httptest.NewServer(&standin.Platform{}), ports: freePorts(t, "link", "datagram", "outbound", "readiness", "control", "app")}
 	t.Cleanup(s.store.Close)
@@ -66,7 +69,7 @@
 		t.Fatal(err)
 	}
 	s.upstream, s.caller = s.listen(agentIP, "app"), s.listen(callerIP, "datagram")
-	l, err := net.Listen("tcp4", s.at(agentIP, "app")) // where a real one serves its health
+	l, err := net.Listen("tcp4", s.at(agentIP, "app")) // a real upstream serves its health check there
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,8 +77,10 @@
 	return s
 }
 
+// at returns the address with the IP and the named port.
 func (s *site) at(ip, port string) string { return fmt.Sprintf("%s:%d", ip, s.ports[port]) }
 
+// listen opens a UDP socket on the IP and the named port.
 func (s *site) listen(ip, port string) *net.UDPConn {
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(s.at(ip, port))))
 	if err != nil {
@@ -85,7 +90,8 @@
 	return c
 }
 
-// options writes the settings file of a VM.
+// options writes the settings file of the VM with the IP and returns the options of its
+// program.
 func (s *site) options(ip string) Options {
 	text := fmt.Sprintf(`ip = %q
 zone = "a"
@@ -109,7 +115,7 @@
 	return Options{Settings: path, Keys: []string{testKey}}
 }
 
-// run runs a program and returns what stops it and waits for its end.
+// run starts a program and returns a function that stops it and waits for its end.
 func (s *site) run(p interface {
 	Run(context.Context) error
 }) (stop func()) {
@@ -124,11 +130,12 @@
 				s.t.Error(err)
 			}
 		case <-time.After(patience):
-			s.t.Error("the program does not stop")
+			s.t.Error("the program did not stop in time")
 		}
 	}
 }
 
+// eventually waits until f returns true, and fails the test if that takes too long.
 func (s *site) eventually(what string, f func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); {
@@ -136,10 +143,10 @@
 			return
 		}
 	}
-	s.t.Fatal("not in time: " + what)
+	s.t.Fatal("did not happen in time: " + what)
 }
 
-// read returns the next packet, or nil after a moment.
+// read returns the next packet, or nil if none arrives within 100 ms.
 func read(c *net.UDPConn) []byte {
 	b := make([]byte, 2000)
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
@@ -150,7 +157,7 @@
 	return b[:n]
 }
 
-// testPacket is a header from one end to the other.
+// testPacket returns a packet from src to dst that consists of a header only.
 func testPacket(src, dst string, flags byte, seq, ack uint32) []byte {
 	b := make([]byte, 31)
 	x, y := netip.MustParseAddrPort(src), netip.MustParseAddrPort(dst)
@@ -165,7 +172,7 @@
 	return b
 }
 
-// Guards against real programs that lose a flow when the balancer is started again.
+// Guards against a restart of the balancer that breaks an open flow.
 func TestFlowThroughRealPrograms(t *testing.T) {
 	s := newSite(t)
 	newBalancer := func() func() {
@@ -206,7 +213,7 @@
 			t.Fatal(err)
 		}
 	}
-	s.eventually("opening at the upstream", func() bool {
+	s.eventually("opening packet at the upstream", func() bool {
 		send(8, 100, 0)
 		b := read(s.upstream)
 		return b != nil && b[12] == 8
@@ -215,7 +222,7 @@
 	if _, err := s.upstream.WriteToUDP(testPacket(address, caller, 8|2, 500, 101), out); err != nil {
 		t.Fatal(err)
 	}
-	s.eventually("acceptance at the caller", func() bool {
+	s.eventually("accepting packet at the caller", func() bool {
 		b := read(s.caller)
 		return b != nil && b[12] == 8|2
 	})
@@ -224,10 +231,10 @@
 		b := read(s.upstream)
 		return b != nil && b[12] == 2 && binary.BigEndian.Uint32(b[4:]) == 501
 	}
-	s.eventually("caller's packet at the upstream", arrives)
+	s.eventually("the caller's packet at the upstream", arrives)
 	stopBalancer()
 	stopBalancer = newBalancer()
 	defer func() { stopBalancer() }()
 	s.eventually("balancer ready again", ready)
-	s.eventually("packet of the open flow after the balancer's restart", arrives)
+	s.eventually("the caller's packet at the upstream after the balancer's restart", arrives)
 }
--- a/node/store.go
+++ b/node/store.go
@@ -15,41 +15,45 @@
 )
 
 const (
-	// storeTimeout bounds a call to the store, well over the answers of a slow one.
+	// storeTimeout limits a call to the store. A slow store answers well within it.
 	storeTimeout = 1500 * time.Millisecond
-	// firstTimeout bounds the first tries of a read, each fifth one doubled; it is over
-	// the answer of a slow store. A store that was silent when a process started answers
-	// on new connections alone, so who waits long on an old one starts serving later.
+	// firstTimeout limits the first attempts of a read; it doubles after every five
+	// failures. A slow store answers within it. A store that did not respond when a
+	// process started answers only on new connections, so a long wait on an old
+	// connection would delay the time at which the process can serve.
 	firstTimeout = 400 * time.Millisecond
-	// eagerMost spaces the tries of a process that has read nothing yet; eagerFor
-	// ends that, so that an outage costs few calls.
+	// eagerMost is the longest delay between the attempts of a process that has read
+	// nothing yet. It applies only for eagerFor, so that an outage causes few calls.
 	eagerMost = 150 * time.Millisecond
 	eagerFor  = 8 * time.Second
-	// A watch can miss a change for good: the store may drop its history while
-	// one waits, and its connection may be silent. So some balancers, chosen by
-	// rendezvous, wait shortly, find out with their next watch, and tell the
-	// others, who wait long. Each watch is a call. watchShort keeps what is found so
-	// within the bound that operators are promised.
+	// watchShort and watchLong are the longest waits of a watch. A watch can miss a
+	// change for good: the store may drop its history while the watch waits, or the
+	// connection may hang. Therefore a few balancers, chosen by rendezvous hashing, use
+	// short watches. They detect such a change with their next watch and notify the
+	// others, which use long watches, because each watch is a call to the store.
+	// watchShort is short enough to apply a missed change within the time that operators
+	// are promised.
 	watchShort = 3 * time.Second
 	watchLong  = 16 * time.Second
-	// watchGrace is what a watch is given beyond its wait, some answers of a slow store.
-	// On a connection that has gone silent that is the time until the next try.
+	// watchGrace is how much longer than its wait a watch may take: a few times the
+	// response time of a slow store. On a hanging connection it delays the next attempt.
 	watchGrace = time.Second
-	// watchersLeast is how many wait shortly.
+	// watchersLeast is how many balancers use short watches.
 	watchersLeast = 3
-	// retryFirst and retryMost space the calls to a store that does not answer.
-	// A second at most keeps what operators wrote meanwhile within its bound.
+	// retryFirst and retryMost are the first and the longest delay between calls to a
+	// store that does not answer. With at most a second, what operators wrote during an
+	// outage is still applied within the promised time.
 	retryFirst = 100 * time.Millisecond
 	retryMost  = time.Second
 )
 
-// store is the platform's store as one process uses it.
+// store gives a process access to the platform's store.
 type store struct {
 	current atomic.Pointer[platform.Client]
 	log     *events.Log
-	// watcher: this balancer is one of those that wait shortly.
+	// watcher is true if this balancer is one of those that use short watches.
 	watcher atomic.Bool
-	// detached: the last call was not answered.
+	// detached is true if the last call of a read failed.
 	detached atomic.Bool
 }
 
@@ -59,7 +63,7 @@
 	return x
 }
 
-// watchWait returns how long the next watch waits.
+// watchWait returns how long the next watch waits, with jitter.
 func (s *store) watchWait() time.Duration {
 	w := watchLong
 	if s.watcher.Load() {
@@ -68,7 +72,7 @@
 	return w/2 + rand.N(w/2)
 }
 
-// use takes the store's address from the settings.
+// use updates the store's address from the settings.
 func (s *store) use(x *platform.Settings) {
 	if c := s.current.Load(); c != nil && c.URL == x.Store {
 		return
@@ -78,25 +82,27 @@
 	s.current.Store(c)
 }
 
+// client returns the client for the store's current address.
 func (s *store) client() *platform.Client { return s.current.Load() }
 
-// tries spaces and bounds the calls of one duty.
+// tries determines the timeouts of a task's calls to the store and the delays between
+// its attempts.
 type tries struct {
-	n     int
+	n     int // failures since the last success
 	since time.Time
-	// hungry: the duty has had no success yet.
+	// hungry is true until the task's first success.
 	hungry bool
 }
 
 func newTries() tries { return tries{since: time.Now(), hungry: true} }
 
-// timeout returns how long the next read may take.
+// timeout returns the limit for the next read.
 func (t *tries) timeout() time.Duration {
 	return min(firstTimeout<<min(t.n/5, 4), storeTimeout)
 }
 
-// pause returns how long to wait after a failure: growing and jittered, so that a
-// store that comes back meets no storm.
+// pause returns the delay after a failure. It grows and is jittered, so that the processes
+// don't overload a store that recovers.
 func (t *tries) pause() time.Duration {
 	most := retryMost
 	if t.hungry && time.Since(t.since) < eagerFor {
@@ -107,9 +113,10 @@
 	return p/2 + rand.N(p/2)
 }
 
+// succeeded resets the timeout and the delay after a success.
 func (t *tries) succeeded() { t.n, t.hungry = 0, false }
 
-// retry calls f until it succeeds or the context ends.
+// retry calls f until it succeeds, and returns false if the context ends first.
 func retry(ctx context.Context, t *tries, f func() error) bool {
 	for {
 		if f() == nil {
@@ -122,7 +129,8 @@
 	}
 }
 
-// lost logs the first failure of a kind's calls and its end.
+// lost records whether a read of the kind failed. It logs the first failure after a
+// success, and the first success after a failure.
 func (s *store) lost(was *bool, k platform.Kind, err error) {
 	switch {
 	case err != nil && !*was:
@@ -134,8 +142,8 @@
 	s.detached.Store(*was)
 }
 
-// follow keeps take informed of all objects of a kind, by name, as of a
-// revision, until the context ends.
+// follow lists and then watches all objects of a kind until the context ends. It calls
+// take with the objects by name, and their revision, after each list and watch.
 func (s *store) follow(ctx context.Context, k platform.Kind, take func(map[string]platform.Object, platform.Revision)) {
 	var at platform.Revision
 	var down bool
@@ -145,7 +153,8 @@
 		retry(ctx, &t, func() error {
 			x, err := s.next(ctx, k, at, t.timeout(), all)
 			if errors.Is(err, platform.ErrGone) || err == nil && x < at {
-				// The history is gone, or the answer is older than what is known.
+				// The store has dropped the history, or its answer is older than the
+				// known state: list everything again.
 				at = 0
 				return err
 			}
@@ -161,7 +170,8 @@
 	}
 }
 
-// next waits for changes after the revision, or lists everything from zero.
+// next waits for changes after the revision and applies them to all, or replaces all with
+// a list if the revision is 0. It returns the new revision.
 func (s *store) next(ctx context.Context, k platform.Kind, at platform.Revision, timeout time.Duration, all map[string]platform.Object) (platform.Revision, error) {
 	if at == 0 {
 		ctx, stop := context.WithTimeout(ctx, timeout)
@@ -193,12 +203,13 @@
 	return x.At, nil
 }
 
-// put makes the store hold the record, whoever wrote there before, and reports whether
-// there was none.
+// put writes the record to the store, replaces any other one, and reports whether it
+// created the record.
 //
-// The answer to a write may be lost after it took effect, or the record be that
-// of an earlier VM at the address: both show as an object that is there already,
-// which comes with the refusal and is compared or replaced on its revision.
+// The record may exist already because the answer to an earlier write was lost after the
+// write took effect, or because an earlier VM had the same address. The store then refuses
+// to create it and returns the existing one. put accepts that if it is equal, and otherwise
+// replaces it on condition of its revision.
 func (s *store) put(ctx context.Context, name string, p platform.Process) (created bool) {
 	t := newTries()
 	retry(ctx, &t, func() error {
@@ -217,7 +228,7 @@
 	return created
 }
 
-// putDraining records that an upstream drains; it may be recorded already.
+// putDraining records that an upstream drains. An existing record is kept.
 func (s *store) putDraining(ctx context.Context, name string, d platform.Draining) {
 	t := newTries()
 	retry(ctx, &t, func() error {
@@ -229,8 +240,8 @@
 	})
 }
 
-// draining reads whether an upstream is recorded to drain; ok is false if the context
-// ended before.
+// draining reads whether there is a record that the upstream drains. ok is false if the
+// context ends first.
 func (s *store) draining(ctx context.Context, name string) (found, ok bool) {
 	t := newTries()
 	ok = retry(ctx, &t, func() error {
@@ -245,8 +256,8 @@
 	return found, ok
 }
 
-// removeDraining removes what was recorded of an upstream that has ended. If that fails, a
-// later upstream at the address gets no opening before its first heartbeat.
+// removeDraining deletes the record that an upstream drains, after it has ended. If that
+// fails, a later upstream at the same address gets no new flows before its first heartbeat.
 func (s *store) removeDraining(ctx context.Context, name string) {
 	o, err := s.client().Get(ctx, platform.KindDraining, name)
 	if err == nil {
@@ -257,7 +268,7 @@
 	}
 }
 
-// remove takes the record out of the store if it is still this one.
+// remove deletes the record from the store if it still equals p.
 func (s *store) remove(ctx context.Context, name string, p platform.Process) {
 	o, err := s.client().Get(ctx, platform.KindProcess, name)
 	var held platform.Process
--- a/node/view.go
+++ b/node/view.go
@@ -19,29 +19,33 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// View is what a balancer knows from the store, for one that can't read it.
+// View is what a balancer has read from the store. It serves it to balancers that cannot
+// read the store themselves.
 type View struct {
 	Configuration platform.Object   `json:"configuration"`
 	Evacuations   []platform.Object `json:"evacuations"`
-	// EvacuationsAt is the revision that the evacuations are as of.
+	// EvacuationsAt is the store's revision at which the evacuations were read.
 	EvacuationsAt platform.Revision `json:"evacuationsAt"`
 	Processes     []platform.Object `json:"processes"`
 }
 
-// A view is asked for and given under the fleet's key: the caller sends a nonce
-// and its tag, the answer carries the tag of nonce and body. So nobody outside
-// reads or forges one, and an old one can't be played again.
+// Requests for a view and their responses are authenticated under the fleet's key. The
+// request carries a nonce and the nonce's tag, the response a tag of the nonce and the
+// body. Outsiders can therefore neither read nor forge a view, and an old response cannot
+// be replayed.
 const (
 	viewPath    = "/view"
 	headerNonce = "Pomeloway-Nonce"
 	headerTag   = "Pomeloway-Tag"
 	nonceLen    = 16
-	// viewMost is the largest configuration and records of a large fleet.
+	// viewMost limits the size of a view. It fits the largest configuration and the
+	// records of a large fleet.
 	viewMost = 8 << 20
-	// viewTimeout is for a peer that is a region away and busy.
+	// viewTimeout limits a request. It allows for a busy peer in another region.
 	viewTimeout = time.Second
 )
 
+// viewTag returns the hexadecimal HMAC-SHA-256 of the parts, each followed by a zero byte.
 func viewTag(secret []byte, parts ...[]byte) string {
 	h := hmac.New(sha256.New, secret)
 	for _, p := range parts {
@@ -51,7 +55,7 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// viewHandler serves the view to who has the fleet's key.
+// viewHandler serves the view to clients that have the fleet's key.
 func viewHandler(secret []byte, view func() View) http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET "+viewPath, func(w http.ResponseWriter, r *http.Request) {
@@ -71,12 +75,12 @@
 	return m
 }
 
-// viewClient closes its connections, as views are asked for seldom.
+// viewClient does not keep connections open, because views are rarely requested.
 var viewClient = &http.Client{Timeout: viewTimeout, Transport: &http.Transport{
 	DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: viewTimeout / 2}).DialContext,
 }}
 
-// fetchView asks the balancer at the address for its view.
+// fetchView requests the view of the balancer at the address and verifies its tag.
 func fetchView(ctx context.Context, secret []byte, a netip.AddrPort) (View, error) {
 	var v View
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.String()+viewPath, nil)
@@ -96,11 +100,12 @@
 		return v, eris.Wrap(err, "view")
 	}
 	if x.StatusCode != http.StatusOK || !hmac.Equal([]byte(x.Header.Get(headerTag)), []byte(viewTag(secret, n, b))) {
-		return v, eris.Errorf("view: status %d, or not of this fleet", x.StatusCode)
+		return v, eris.Errorf("view: status %d, or the tag is not made with this fleet's key", x.StatusCode)
 	}
 	return v, json.NewDecoder(bytes.NewReader(b)).Decode(&v)
 }
 
+// randomBytes returns n cryptographically random bytes.
 func randomBytes(n int) []byte {
 	b := make([]byte, n)
 	rand.Read(b)
