--- a/node/agent.go
+++ b/node/agent.go
@@ -70,8 +70,8 @@
 // ToUpstream sends a packet to the upstream.
 func (a *Agent) ToUpstream(p []byte) { a.loop.send(a.outbound, p, a.settings.Upstream) }
 
-func (a *Agent) datagram(b *buffer, now time.Duration) {
-	if b.at == fromUpstream {
+func (a *Agent) handleDatagram(b *buffer, now time.Duration) {
+	if b.src == fromUpstream {
 		a.agent.HandleUpstream(b.packet(), now)
 		return
 	}
@@ -131,8 +131,8 @@
 	g.Add(func() error { return a.loop.run(a.ctx, a) }, func(error) { a.cancel() })
 	g.Add(func() error { return a.loop.read(a.link, fromProcess) }, func(error) { a.link.Close() })
 	g.Add(func() error { return a.loop.read(a.outbound, fromUpstream) }, func(error) { a.outbound.Close() })
-	g.Add(func() error { a.keepRecord(); <-a.ctx.Done(); return nil }, func(error) { a.cancel() })
-	g.Add(func() error { return a.watchSettings(a.ctx, a.apply) }, func(error) { a.cancel() })
+	g.Add(func() error { a.writeRecord(); <-a.ctx.Done(); return nil }, func(error) { a.cancel() })
+	g.Add(func() error { return a.watchSettings(a.ctx, a.applySettings) }, func(error) { a.cancel() })
 	g.Add(func() error { return a.leave(stopped) }, func(error) { a.cancel() })
 	if err := a.addMetrics(&g, a.loop, func() any { return a.agent.Status(a.loop.now()) }); err != nil {
 		return err
@@ -143,28 +143,28 @@
 	if err := addHTTP(&g, a.settings.Readiness, platform.ReadinessHandler(func() bool { return true })); err != nil {
 		return err
 	}
-	go a.apply(a.settings)
+	go a.applySettings(a.settings)
 	err := g.Run()
 	a.log.Add(events.Stopped)
 	return err
 }
 
-// keepRecord writes the agent's record to the store. If the store already has a record,
+// writeRecord writes the agent's record to the store. If the store already has a record,
 // an earlier run may have recorded that the upstream drains, and that state is restored.
-func (a *Agent) keepRecord() {
+func (a *Agent) writeRecord() {
 	draining := false
-	if !a.store.put(a.ctx, a.recordName(), a.record()) {
+	if !a.store.putRecord(a.ctx, a.recordName(), a.record()) {
 		var ok bool
-		if draining, ok = a.store.draining(a.ctx, a.recordName()); !ok {
+		if draining, ok = a.store.readDraining(a.ctx, a.recordName()); !ok {
 			return
 		}
 	}
 	a.loop.do(a.ctx, func(time.Duration) { a.agent.Recall(draining) })
 }
 
-// apply updates the store's address from the settings and contacts the seeds.
-func (a *Agent) apply(s *platform.Settings) {
-	a.store.use(s)
+// applySettings updates the store's address from the settings and contacts the seeds.
+func (a *Agent) applySettings(s *platform.Settings) {
+	a.store.updateAddress(s)
 	a.loop.do(a.ctx, func(now time.Duration) {
 		for _, x := range s.Seeds {
 			a.agent.Meet(datagram.IPOf(x.Addr()), now)
@@ -185,7 +185,7 @@
 	if s == datagram.UpstreamGone || s == datagram.UpstreamAbsent {
 		ctx, stop := context.WithTimeout(a.ctx, a.live.Load().Grace/2)
 		defer stop()
-		a.store.remove(ctx, a.recordName(), a.record())
+		a.store.removeRecord(ctx, a.recordName(), a.record())
 		a.store.removeDraining(ctx, a.recordName())
 		return nil
 	}
--- a/node/balancer.go
+++ b/node/balancer.go
@@ -28,20 +28,20 @@
 	store    *store
 	ready    atomic.Bool
 	view     atomic.Pointer[View]
-	// newest is the latest configuration version that any process has reported, and
-	// holder the process that reported it last. Only the loop uses them.
-	newest datagram.Version
-	holder datagram.IP
+	// newestVersion is the latest configuration version that any process has reported,
+	// and holder the process that reported it last. Only the loop uses them.
+	newestVersion datagram.Version
+	holder        datagram.IP
 	// offers passes on processes that have a configuration while this balancer has none.
 	// One is enough, so others are dropped while it waits.
 	offers chan datagram.IP
-	// behind counts the rounds of followPeers since this balancer's configuration was
-	// the latest one known.
-	behind int
-	// chosen is when tick last checked whether this balancer uses short watches.
-	chosen time.Duration
-	ctx    context.Context
-	cancel context.CancelFunc
+	// roundsBehind counts the rounds of syncWithPeers since this balancer's configuration
+	// was the latest one known.
+	roundsBehind int
+	// watcherCheckedAt is when tick last checked whether this balancer uses short watches.
+	watcherCheckedAt time.Duration
+	ctx              context.Context
+	cancel           context.CancelFunc
 }
 
 // NewBalancer creates a balancer and opens its UDP sockets.
@@ -65,11 +65,11 @@
 	b.balancer.Observe = s.observe
 	b.offers = make(chan datagram.IP, 1)
 	b.balancer.Behind = func(from datagram.IP, v datagram.Version) {
-		if v >= b.newest {
-			b.newest, b.holder = v, from
+		if v >= b.newestVersion {
+			b.newestVersion, b.holder = v, from
 		}
 		if b.balancer.Configured() != 0 {
-			return // the store delivers it; if that fails, followPeers fetches it
+			return // the store delivers it; if that fails, syncWithPeers fetches it
 		}
 		select {
 		case b.offers <- from:
@@ -77,7 +77,7 @@
 		}
 	}
 	b.view.Store(&View{})
-	b.store.watcher.Store(true) // until other balancers are known
+	b.store.usesShortWatches.Store(true) // until other balancers are known
 	b.balancer.Start()
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	return b, nil
@@ -93,8 +93,8 @@
 	b.loop.send(b.callers, p, netip.AddrPortFrom(ip.Addr(), b.settings.CallerPort))
 }
 
-func (b *Balancer) datagram(d *buffer, now time.Duration) {
-	if d.at == fromCaller {
+func (b *Balancer) handleDatagram(d *buffer, now time.Duration) {
+	if d.src == fromCaller {
 		b.balancer.HandleCaller(d.packet(), now)
 		return
 	}
@@ -104,16 +104,16 @@
 func (b *Balancer) tick(now time.Duration) time.Duration {
 	at := b.balancer.Tick(now)
 	b.ready.Store(b.balancer.Ready())
-	if now-b.chosen >= datagram.StatusEvery {
+	if now-b.watcherCheckedAt >= datagram.StatusEvery {
 		// Not on each tick: Among sorts the balancers, which change only with status messages.
-		b.chosen, b.balancer.Detached = now, b.store.detached.Load()
-		b.store.watcher.Store(b.balancer.Among(watchersLeast, now))
+		b.watcherCheckedAt, b.balancer.Detached = now, b.store.detached.Load()
+		b.store.usesShortWatches.Store(b.balancer.Among(shortWatcherCount, now))
 	}
 	return at
 }
 
-// Run serves until stopped is done. It then reports not ready, goes on serving until the
-// routers have taken the balancer out of rotation, and returns.
+// Run serves until stopped is done. It then reports that it is not ready, continues to
+// serve until routers have taken the balancer out of rotation, and returns.
 func (b *Balancer) Run(stopped context.Context) error {
 	defer b.cancel()
 	b.log.Add(events.Started, slog.String("role", string(b.role)), slog.Uint64("life", uint64(b.life)))
@@ -122,10 +122,10 @@
 	g.Add(func() error { return b.loop.run(b.ctx, b) }, func(error) { b.cancel() })
 	g.Add(func() error { return b.loop.read(b.link, fromProcess) }, func(error) { b.link.Close() })
 	g.Add(func() error { return b.loop.readCallers(b.callers) }, func(error) { b.callers.Close() })
-	for _, f := range []func(){b.followConfiguration, b.followEvacuations, b.followProcesses, b.followPeers} {
+	for _, f := range []func(){b.followConfiguration, b.followEvacuations, b.pollMembers, b.syncWithPeers} {
 		g.Add(func() error { f(); <-b.ctx.Done(); return nil }, func(error) { b.cancel() })
 	}
-	g.Add(func() error { return b.watchSettings(b.ctx, b.store.use) }, func(error) { b.cancel() })
+	g.Add(func() error { return b.watchSettings(b.ctx, b.store.updateAddress) }, func(error) { b.cancel() })
 	g.Add(func() error { return b.leave(stopped) }, func(error) { b.cancel() })
 	if err := addHTTP(&g, b.settings.Readiness, platform.ReadinessHandler(b.ready.Load)); err != nil {
 		return err
@@ -133,7 +133,7 @@
 	if err := b.addMetrics(&g, b.loop, func() any { return b.balancer.Status(b.loop.now()) }); err != nil {
 		return err
 	}
-	if err := addHTTP(&g, b.settings.View, viewHandler(b.secret, func() View { return *b.view.Load() })); err != nil {
+	if err := addHTTP(&g, b.settings.View, viewHandler(b.viewKey, func() View { return *b.view.Load() })); err != nil {
 		return err
 	}
 	err := g.Run()
@@ -141,16 +141,17 @@
 	return err
 }
 
+// followConfiguration applies the configurations of the store until the program ends.
 func (b *Balancer) followConfiguration() {
 	b.store.follow(b.ctx, platform.KindConfiguration, func(all map[string]platform.Object, _ platform.Revision) {
 		if o, ok := all[platform.ConfigurationName]; ok {
-			b.takeConfiguration(o, "store")
+			b.applyConfiguration(o, "store")
 		}
 	})
 }
 
-// takeConfiguration applies a configuration unless a newer one is in force.
-func (b *Balancer) takeConfiguration(o platform.Object, from string) {
+// applyConfiguration applies a configuration unless a newer one is in force.
+func (b *Balancer) applyConfiguration(o platform.Object, from string) {
 	c, err := platform.DecodeConfiguration(o.Spec)
 	if err != nil {
 		b.log.Add(events.ConfigurationRefused, slog.Uint64("revision", uint64(o.Meta.Revision)), slog.String("error", err.Error()))
@@ -170,14 +171,15 @@
 	})
 }
 
+// followEvacuations applies the evacuations of the store until the program ends.
 func (b *Balancer) followEvacuations() {
 	b.store.follow(b.ctx, platform.KindEvacuation, func(all map[string]platform.Object, at platform.Revision) {
-		b.takeEvacuations(slices.Collect(maps.Values(all)), at, "store")
+		b.applyEvacuations(slices.Collect(maps.Values(all)), at, "store")
 	})
 }
 
-// takeEvacuations applies the evacuations as of a revision, unless later ones are known.
-func (b *Balancer) takeEvacuations(os []platform.Object, at platform.Revision, from string) {
+// applyEvacuations applies the evacuations as of a revision, unless later ones are known.
+func (b *Balancer) applyEvacuations(os []platform.Object, at platform.Revision, from string) {
 	b.loop.do(b.ctx, func(now time.Duration) {
 		b.updateView(func(v *View) {
 			if at > v.EvacuationsAt {
@@ -190,17 +192,17 @@
 	})
 }
 
-// listEvery is how often the member records are read again, in case an agent could not
-// reach this balancer itself. These reads accept stale data, which costs a tenth of a
-// current read.
-const listEvery = 10 * time.Second
+// memberListInterval is how often the member records are read again, in case an agent
+// could not reach this balancer itself. These reads accept stale data, which costs a
+// tenth of a current read.
+const memberListInterval = 10 * time.Second
 
-// followProcesses reads the member records at regular intervals until the program ends.
+// pollMembers reads the member records at regular intervals until the program ends.
 // Only the first read has to be current.
-func (b *Balancer) followProcesses() {
+func (b *Balancer) pollMembers() {
 	var down bool
 	fresh := true
-	t := newTries()
+	t := newBackoff()
 	for b.ctx.Err() == nil {
 		retry(b.ctx, &t, func() error {
 			ctx, stop := context.WithTimeout(b.ctx, t.timeout())
@@ -210,33 +212,33 @@
 				list = b.store.client().List
 			}
 			l, err := list(ctx, platform.KindProcess)
-			b.store.lost(&down, platform.KindProcess, err)
+			b.store.trackOutcome(&down, platform.KindProcess, err)
 			if err == nil {
-				b.takeMembers(l.Items, fresh)
+				b.applyMembers(l.Items, fresh)
 			}
 			return err
 		})
 		fresh = false
-		if !clock.Sleep(b.ctx, listEvery) {
+		if !clock.Sleep(b.ctx, memberListInterval) {
 			return
 		}
 	}
 }
 
-// takeMembers applies the member records, and removes those of dead members that this
+// applyMembers applies the member records, and removes those of dead members that this
 // balancer is responsible for. fresh means that the records were read from the store in
 // this run and are current; this balancer's own record is then written if it is missing.
-func (b *Balancer) takeMembers(os []platform.Object, fresh bool) {
+func (b *Balancer) applyMembers(os []platform.Object, fresh bool) {
 	var ms []datagram.Member
 	records := map[datagram.IP]platform.Object{}
-	found := false
+	ownRecordFound := false
 	for _, o := range os {
 		m, err := platform.DecodeMember(o)
 		if err != nil {
 			b.log.Add(events.RecordRefused, slog.String("error", err.Error()))
 			continue
 		}
-		found = found || m.IP == b.self()
+		ownRecordFound = ownRecordFound || m.IP == b.self()
 		ms = append(ms, m)
 		records[m.IP] = o
 	}
@@ -249,16 +251,17 @@
 		return
 	}
 	for _, ip := range dead {
-		b.remove(records[ip])
+		b.removeDeadRecord(records[ip])
 	}
-	if !found && fresh {
-		go b.store.put(b.ctx, b.recordName(), b.record())
+	if !ownRecordFound && fresh {
+		go b.store.putRecord(b.ctx, b.recordName(), b.record())
 	}
 }
 
-// remove deletes a dead member's record from the store. The delete is conditional on the
-// revision that was read, so it fails if the member has written its record again since.
-func (b *Balancer) remove(o platform.Object) {
+// removeDeadRecord deletes a dead member's record from the store. The delete is conditional
+// on the revision that was read, so it fails if the member has since written its record
+// again.
+func (b *Balancer) removeDeadRecord(o platform.Object) {
 	err := b.store.client().Delete(b.ctx, platform.KindProcess, o.Meta.Name, o.Meta.Revision)
 	if err != nil {
 		b.log.Add(events.RecordKept, slog.String("record", o.Meta.Name), slog.String("error", err.Error()))
@@ -275,10 +278,10 @@
 	b.view.Store(&v)
 }
 
-// leaveRotation is how long a stopping balancer continues to serve. Routers check its
+// deregistrationDelay is how long a stopping balancer continues to serve. Routers check its
 // readiness twice a second and take it out of rotation after two failed checks, and
 // packets in flight arrive after that.
-const leaveRotation = 1600 * time.Millisecond
+const deregistrationDelay = 1600 * time.Millisecond
 
 // leave waits until the program is asked to stop, notifies the other processes, and waits
 // until routers have taken the balancer out of rotation.
@@ -288,7 +291,7 @@
 	}
 	b.loop.do(b.ctx, func(now time.Duration) { b.balancer.Leave(now) })
 	b.ready.Store(false)
-	clock.Sleep(b.ctx, min(leaveRotation, b.live.Load().Grace/2))
+	clock.Sleep(b.ctx, min(deregistrationDelay, b.live.Load().Grace/2))
 	return nil
 }
 
--- a/node/loop.go
+++ b/node/loop.go
@@ -27,11 +27,11 @@
 
 // buffer holds a datagram, with free space for a header before it.
 type buffer struct {
-	b    [bufferLen]byte
-	n    int // length of the datagram, which starts at offset HeaderLen
-	from netip.AddrPort
-	at   source
-	came time.Duration // when the datagram was read
+	b          [bufferLen]byte
+	n          int // length of the datagram, which starts at offset HeaderLen
+	from       netip.AddrPort
+	src        source
+	receivedAt time.Duration // when the datagram was read
 }
 
 // message returns the datagram, as a message from another process.
@@ -41,8 +41,8 @@
 func (b *buffer) packet() []byte { return b.b[:datagram.HeaderLen+b.n] }
 
 // loop is an event loop: a single goroutine makes all decisions. Socket readers and other
-// goroutines pass events to it through two bounded queues, one for callers' datagrams and
-// one for internal events, which are all others.
+// goroutines pass events to it through two bounded queues: one for callers' datagrams, and
+// one for all other events, which are called internal.
 //
 // Internal events take precedence, because messages of the fleet complete work that has
 // been started. A balancer that starts more than it can complete only repeats itself and
@@ -50,36 +50,36 @@
 // then drops datagrams. Callers' datagrams that have waited too long are dropped, because
 // callers soon send them again.
 type loop struct {
-	start   time.Time
-	events  chan any
-	callers chan *buffer
-	free    chan *buffer
+	start         time.Time
+	internalQueue chan any
+	callerQueue   chan *buffer
+	free          chan *buffer // buffers for reuse
 	// broken counts failed reads and writes of datagrams, dropped the callers' datagrams
 	// that were dropped from the queue.
 	broken, dropped atomic.Uint64
 }
 
 const (
-	// ringLen is the capacity of the internal queue, and callersLen that of the queue of
-	// callers' datagrams: as many as a large VM handles before they are too old.
-	ringLen    = 64
-	callersLen = 512
-	// callersPatience is how long a caller's datagram may wait: half the time after which
-	// callers retransmit.
-	callersPatience = 100 * time.Millisecond
-	// fleetTurn is how many internal events are handled before one datagram of a caller
-	// if both queues are filled, so that neither starves the other.
-	fleetTurn = 8
+	// internalQueueLen and callerQueueLen are the capacities of the queues: as many events
+	// as a large VM handles before they are too old.
+	internalQueueLen = 64
+	callerQueueLen   = 512
+	// callerQueueTimeout is how long a caller's datagram may wait: half the time after
+	// which callers retransmit.
+	callerQueueTimeout = 100 * time.Millisecond
+	// maxInternalBurst is how many internal events are handled before one datagram of a
+	// caller if events wait in both queues, so that neither queue starves the other.
+	maxInternalBurst = 8
 )
 
-// beforeTick limits the events that are handled between two ticks. Ticks check what is
-// overdue.
-const beforeTick = 16
+// maxEventsPerTick limits the events that are handled between two ticks. Ticks check what
+// is overdue.
+const maxEventsPerTick = 16
 
 func newLoop() *loop {
 	return &loop{
-		start: time.Now(), events: make(chan any, ringLen), callers: make(chan *buffer, callersLen),
-		free: make(chan *buffer, ringLen+8),
+		start: time.Now(), internalQueue: make(chan any, internalQueueLen), callerQueue: make(chan *buffer, callerQueueLen),
+		free: make(chan *buffer, internalQueueLen+8),
 	}
 }
 
@@ -109,7 +109,7 @@
 func (l *loop) do(ctx context.Context, f func(now time.Duration)) bool {
 	done := make(chan struct{})
 	select {
-	case l.events <- func(now time.Duration) { f(now); close(done) }:
+	case l.internalQueue <- func(now time.Duration) { f(now); close(done) }:
 	case <-ctx.Done():
 		return false
 	}
@@ -123,8 +123,8 @@
 
 // handler handles the events of a loop.
 type handler interface {
-	// datagram handles a datagram, whose buffer is reused afterwards.
-	datagram(b *buffer, now time.Duration)
+	// handleDatagram handles a datagram. Its buffer is reused afterwards.
+	handleDatagram(b *buffer, now time.Duration)
 	// tick handles what is due and returns the time of the next tick.
 	tick(now time.Duration) time.Duration
 }
@@ -134,13 +134,13 @@
 	next := h.tick(l.now())
 	t := time.NewTimer(next - l.now())
 	defer t.Stop()
-	sinceTick, turn := 0, 0
+	sinceTick, burst := 0, 0
 	for ctx.Err() == nil {
-		e := l.first(&turn)
+		e := l.nextQueued(&burst)
 		if e == nil {
 			select {
-			case e = <-l.events:
-			case b := <-l.callers:
+			case e = <-l.internalQueue:
+			case b := <-l.callerQueue:
 				e = b
 			case <-t.C:
 				next = h.tick(l.now())
@@ -151,7 +151,7 @@
 			}
 		}
 		l.handle(e, h)
-		if sinceTick++; sinceTick < beforeTick && len(l.events) > 0 {
+		if sinceTick++; sinceTick < maxEventsPerTick && len(l.internalQueue) > 0 {
 			continue // an event in the queue may be the answer that a tick considers overdue
 		}
 		sinceTick = 0
@@ -163,22 +163,22 @@
 	return nil
 }
 
-// first returns the next event of the two queues, or nil if both are empty. turn counts
-// the internal events since the last datagram of a caller.
-func (l *loop) first(turn *int) any {
-	if *turn < fleetTurn {
+// nextQueued returns the next event of the two queues, or nil if both are empty. burst
+// counts the internal events since the last datagram of a caller.
+func (l *loop) nextQueued(burst *int) any {
+	if *burst < maxInternalBurst {
 		select {
-		case e := <-l.events:
-			*turn++
+		case e := <-l.internalQueue:
+			*burst++
 			return e
 		default:
 		}
 	}
-	*turn = 0
+	*burst = 0
 	for {
 		select {
-		case b := <-l.callers:
-			if l.now()-b.came < callersPatience {
+		case b := <-l.callerQueue:
+			if l.now()-b.receivedAt < callerQueueTimeout {
 				return b
 			}
 			l.drop(b)
@@ -198,7 +198,7 @@
 func (l *loop) handle(e any, h handler) {
 	switch e := e.(type) {
 	case *buffer:
-		h.datagram(e, l.now())
+		h.handleDatagram(e, l.now())
 		l.release(e)
 	case func(time.Duration):
 		e(l.now())
@@ -206,32 +206,31 @@
 }
 
 // read adds the socket's datagrams to the internal queue until the socket is closed.
-func (l *loop) read(c *net.UDPConn, at source) error {
-	return l.readTo(c, at, func(b *buffer) { l.events <- b })
+func (l *loop) read(c *net.UDPConn, src source) error {
+	return l.readInto(c, src, func(b *buffer) { l.internalQueue <- b })
 }
 
-// readCallers adds the socket's datagrams to the queue of callers' datagrams until the
-// socket is closed.
-func (l *loop) readCallers(c *net.UDPConn) error { return l.readTo(c, fromCaller, l.addCaller) }
+// readCallers adds the socket's datagrams to the caller queue until the socket is closed.
+func (l *loop) readCallers(c *net.UDPConn) error { return l.readInto(c, fromCaller, l.enqueueCaller) }
 
-// addCaller queues a caller's datagram. If the queue is full, it drops the oldest one.
-func (l *loop) addCaller(b *buffer) {
+// enqueueCaller queues a caller's datagram. If the queue is full, it drops the oldest one.
+func (l *loop) enqueueCaller(b *buffer) {
 	for {
 		select {
-		case l.callers <- b:
+		case l.callerQueue <- b:
 			return
 		default:
 		}
 		select {
-		case old := <-l.callers:
+		case old := <-l.callerQueue:
 			l.drop(old)
 		default:
 		}
 	}
 }
 
-// readTo calls add for each datagram of the socket until the socket is closed.
-func (l *loop) readTo(c *net.UDPConn, at source, add func(*buffer)) error {
+// readInto calls add for each datagram of the socket until the socket is closed.
+func (l *loop) readInto(c *net.UDPConn, src source, add func(*buffer)) error {
 	for {
 		b := l.buffer()
 		n, from, err := c.ReadFromUDPAddrPort(b.b[datagram.HeaderLen:])
@@ -243,7 +242,7 @@
 			l.release(b)
 			continue
 		}
-		b.n, b.from, b.at, b.came = n, from, at, l.now()
+		b.n, b.from, b.src, b.receivedAt = n, from, src, l.now()
 		add(b)
 	}
 }
@@ -256,9 +255,9 @@
 	}
 }
 
-// socketBuffer is the size of a socket's receive buffer. It absorbs pauses of some
+// socketBufferSize is the size of a socket's receive buffer. It absorbs pauses of some
 // milliseconds; unread datagrams count towards the memory of the process.
-const socketBuffer = 1 << 20
+const socketBufferSize = 1 << 20
 
 // listenUDP opens a UDP socket on the address.
 func listenUDP(a netip.AddrPort) (*net.UDPConn, error) {
@@ -266,6 +265,6 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen on %v", a)
 	}
-	c.SetReadBuffer(socketBuffer) // the kernel may grant less, which is acceptable
+	c.SetReadBuffer(socketBufferSize) // the kernel may grant less, which is acceptable
 	return c, nil
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -28,8 +28,8 @@
 	return s
 }
 
-// put creates an object in the store.
-func put(t *testing.T, s *store, k platform.Kind, name string) platform.Object {
+// createObject creates an object in the store.
+func createObject(t *testing.T, s *store, k platform.Kind, name string) platform.Object {
 	t.Helper()
 	o, err := s.client().Create(t.Context(), k, name, struct{}{})
 	if err != nil {
@@ -38,15 +38,15 @@
 	return o
 }
 
-// deaf is a store whose watches report no change while deaf is true, as watches of the
-// platform's store do when it drops its history.
-type deaf struct {
+// stallingStore is a store whose watches report no change while stalled is true, as watches
+// of the platform's store do when it drops its history.
+type stallingStore struct {
 	*standin.Platform
-	deaf atomic.Bool
+	stalled atomic.Bool
 }
 
-func (d *deaf) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if d.deaf.Load() && r.URL.Query().Has("watch") {
+func (d *stallingStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if d.stalled.Load() && r.URL.Query().Has("watch") {
 		<-r.Context().Done()
 		return
 	}
@@ -57,9 +57,9 @@
 // during a watch.
 func TestFollowFindsAChangeThatItsWatchMissed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &deaf{Platform: &standin.Platform{}}
+		p := &stallingStore{Platform: &standin.Platform{}}
 		s := testStore(p)
-		s.watcher.Store(true)
+		s.usesShortWatches.Store(true)
 		ctx, stop := context.WithCancel(t.Context())
 		known := map[string]time.Duration{}
 		start := time.Now()
@@ -75,18 +75,18 @@
 			close(done)
 		}()
 		time.Sleep(time.Second)
-		put(t, s, platform.KindEvacuation, "zone-a")
+		createObject(t, s, platform.KindEvacuation, "zone-a")
 		time.Sleep(time.Second)
-		p.deaf.Store(true)
+		p.stalled.Store(true)
 		time.Sleep(5 * time.Second)
-		put(t, s, platform.KindEvacuation, "zone-b")
+		createObject(t, s, platform.KindEvacuation, "zone-b")
 		changed := time.Since(start)
 		p.Forget()
-		p.deaf.Store(false)
+		p.stalled.Store(false)
 		time.Sleep(8 * time.Second)
 		stop()
 		<-done
-		if known["zone-a"] > 1100*time.Millisecond || known["zone-b"] == 0 || known["zone-b"]-changed > watchShort+storeTimeout {
+		if known["zone-a"] > 1100*time.Millisecond || known["zone-b"] == 0 || known["zone-b"]-changed > shortWatchWait+storeTimeout {
 			t.Errorf("objects were known after %v", known)
 		}
 	})
@@ -118,7 +118,7 @@
 func TestDrainingUpstreamIsRecalled(t *testing.T) {
 	for name, x := range map[string]struct {
 		before func(context.Context, *store)
-		away   time.Duration // how long the store is down after the restart
+		outage time.Duration // how long the store is down after the restart
 		want   bool
 	}{
 		"recorded": {func(ctx context.Context, s *store) { s.putDraining(ctx, "agent-10.0.0.1", platform.Draining{}) }, 0, true},
@@ -139,9 +139,9 @@
 				p := &standin.Platform{}
 				s := testStore(p)
 				x.before(t.Context(), s)
-				p.Set(standin.Faults{Outage: x.away > 0})
-				time.AfterFunc(x.away, func() { p.Set(standin.Faults{}) })
-				found, ok := s.draining(t.Context(), "agent-10.0.0.1")
+				p.Set(standin.Faults{Outage: x.outage > 0})
+				time.AfterFunc(x.outage, func() { p.Set(standin.Faults{}) })
+				found, ok := s.readDraining(t.Context(), "agent-10.0.0.1")
 				if found != x.want || !ok {
 					t.Errorf("found is %t, ok is %t", found, ok)
 				}
@@ -173,7 +173,7 @@
 					}
 				}
 				p.Set(standin.Faults{LoseAnswers: x.lost})
-				if s.put(t.Context(), "agent-10.0.0.1", mine) && x.before != nil {
+				if s.putRecord(t.Context(), "agent-10.0.0.1", mine) && x.before != nil {
 					t.Error("an earlier run's record was reported as created")
 				}
 				p.Set(standin.Faults{})
@@ -182,11 +182,11 @@
 				if err != nil || json.Unmarshal(o.Spec, &got) != nil || got != mine {
 					t.Errorf("the record is %+v, error %v", got, err)
 				}
-				s.remove(t.Context(), "agent-10.0.0.1", other)
+				s.removeRecord(t.Context(), "agent-10.0.0.1", other)
 				if _, err := s.client().Get(t.Context(), platform.KindProcess, "agent-10.0.0.1"); err != nil {
 					t.Error("the record was removed by a process that does not own it")
 				}
-				s.remove(t.Context(), "agent-10.0.0.1", mine)
+				s.removeRecord(t.Context(), "agent-10.0.0.1", mine)
 				if _, err := s.client().Get(t.Context(), platform.KindProcess, "agent-10.0.0.1"); !errors.Is(err, platform.ErrNotFound) {
 					t.Error("the record was not removed by its owner")
 				}
@@ -198,12 +198,12 @@
 // Guards against views that are served to clients, or accepted from servers, that don't
 // have the fleet's key.
 func TestViewsStayInTheFleet(t *testing.T) {
-	key, stranger := []byte("of the fleet"), []byte("of another")
+	key, otherKey := []byte("of the fleet"), []byte("of another")
 	want := View{EvacuationsAt: 9}
 	for name, x := range map[string]struct {
 		server, client []byte
 		ok             bool
-	}{"same key": {key, key, true}, "client with another key": {key, stranger, false}, "server with another key": {stranger, key, false}} {
+	}{"same key": {key, key, true}, "client with another key": {key, otherKey, false}, "server with another key": {otherKey, key, false}} {
 		t.Run(name, func(t *testing.T) {
 			s := httptest.NewServer(viewHandler(x.server, func() View { return want }))
 			defer s.Close()
@@ -336,7 +336,7 @@
 	s := testStore(nil)
 	var down bool
 	for _, x := range []error{nil, platform.ErrDown, nil} {
-		s.lost(&down, platform.KindConfiguration, x)
+		s.trackOutcome(&down, platform.KindConfiguration, x)
 		if s.detached.Load() != (x != nil) {
 			t.Errorf("after a call with error %v, detached is %t", x, s.detached.Load())
 		}
--- a/node/offer_test.go
+++ b/node/offer_test.go
@@ -43,10 +43,10 @@
 	s.eventually("configuration from the other balancer", func() bool { return configured(second) == 3 })
 }
 
-// mustCatchUp runs a balancer that has an old configuration, the given seeds and no store.
-// It repeatedly reports a newer configuration of another balancer to it, and fails the test
-// unless the balancer obtains that configuration.
-func mustCatchUp(t *testing.T, seeds func([]netip.AddrPort) []netip.AddrPort) {
+// requireCatchUp runs a balancer that has an old configuration, the given seeds and no
+// store. It repeatedly reports a newer configuration of another balancer to it, and fails
+// the test unless the balancer obtains that configuration.
+func requireCatchUp(t *testing.T, seeds func([]netip.AddrPort) []netip.AddrPort) {
 	t.Helper()
 	s := newSite(t)
 	first, err := NewBalancer(s.options(balancerIP), nil)
@@ -76,14 +76,14 @@
 // Guards against rounds that never start because each report of a newer configuration
 // restarts the wait for the next round.
 func TestWordsOfOthersDoNotHoldUpARound(t *testing.T) {
-	mustCatchUp(t, func(s []netip.AddrPort) []netip.AddrPort { return s })
+	requireCatchUp(t, func(s []netip.AddrPort) []netip.AddrPort { return s })
 }
 
 // Guards against a balancer that missed a configuration in its watch and gets it late. This
 // happens if it asks its peers in turn, many of which don't answer, and not the one that
 // reported the configuration.
 func TestHolderOfANewerConfigurationIsAsked(t *testing.T) {
-	mustCatchUp(t, func([]netip.AddrPort) []netip.AddrPort {
+	requireCatchUp(t, func([]netip.AddrPort) []netip.AddrPort {
 		return slices.Repeat([]netip.AddrPort{netip.MustParseAddrPort("127.0.0.13:1")}, 1000)
 	})
 }
--- a/node/options.go
+++ b/node/options.go
@@ -42,16 +42,16 @@
 
 // base holds what the balancer and the agent have in common.
 type base struct {
-	options  Options
-	role     platform.Role
-	settings *platform.Settings                // as loaded at the start
-	live     atomic.Pointer[platform.Settings] // as loaded last
-	keys     link.Keys
-	secret   []byte // authenticates views
-	log      *events.Log
-	life     datagram.Life // random ID of this run
-	metrics  *metrics.Metrics
-	times    histograms
+	options   Options
+	role      platform.Role
+	settings  *platform.Settings                // as loaded at the start
+	live      atomic.Pointer[platform.Settings] // as loaded last
+	keys      link.Keys
+	viewKey   []byte // authenticates views
+	log       *events.Log
+	life      datagram.Life // random ID of this run
+	metrics   *metrics.Metrics
+	durations histograms
 }
 
 func newBase(o Options, r platform.Role, l *slog.Logger) (*base, error) {
@@ -69,8 +69,8 @@
 	b := &base{options: o, role: r, settings: s, keys: link.NewKeys(ring), log: events.NewLog(l), life: datagram.Life(rand.Uint64())}
 	b.live.Store(s)
 	b.metrics = metrics.New()
-	b.times = newHistograms(b.metrics.Scope.SubScope(string(r)))
-	b.secret = ring[0].Derive(keyring.UseView, keyring.SecretSize)
+	b.durations = newHistograms(b.metrics.Scope.SubScope(string(r)))
+	b.viewKey = ring[0].Derive(keyring.UseView, keyring.SecretSize)
 	return b, nil
 }
 
--- a/node/relay_bench_test.go
+++ b/node/relay_bench_test.go
@@ -13,15 +13,15 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// toSink is a balancer's output that sends all messages to one address, which takes the
-// place of an agent.
-type toSink struct {
+// fixedOutput is a balancer's output that sends all messages to one address, which takes
+// the place of an agent.
+type fixedOutput struct {
 	c  *net.UDPConn
 	to netip.AddrPort
 }
 
-func (s *toSink) ToProcess(_ datagram.IP, m []byte) { s.c.WriteToUDPAddrPort(m, s.to) }
-func (s *toSink) ToCaller(datagram.IP, []byte)      {}
+func (s *fixedOutput) ToProcess(_ datagram.IP, m []byte) { s.c.WriteToUDPAddrPort(m, s.to) }
+func (s *fixedOutput) ToCaller(datagram.IP, []byte)      {}
 
 // BenchmarkRelay measures how long a balancer takes for a packet of an open flow, from the
 // read to the write, and compares it with a plain relay in the same run. Both make the same
@@ -41,7 +41,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	x := &datagram.Balancer{Format: platform.Packets{}, Out: &toSink{relay, at(sink)}, Keys: link.NewKeys(r)}
+	x := &datagram.Balancer{Format: platform.Packets{}, Out: &fixedOutput{relay, at(sink)}, Keys: link.NewKeys(r)}
 	x.Start()
 	service := datagram.ServiceKeyOf("letters")
 	address := datagram.EndpointOf(netip.MustParseAddrPort("198.18.0.1:443"))
@@ -68,7 +68,7 @@
 		x.HandleCaller(buf[:datagram.HeaderLen+n], time.Second)
 	}
 	var spent [2]time.Duration
-	rest := make([]byte, bufferLen)
+	received := make([]byte, bufferLen)
 	for seq := uint32(2); b.Loop(); seq++ {
 		binary.BigEndian.PutUint32(packet, seq) // a repeated packet would cause a lookup
 		for i, f := range []func(){bare, ours} {
@@ -76,7 +76,7 @@
 			t := time.Now()
 			f()
 			spent[i] += time.Since(t)
-			sink.ReadFromUDPAddrPort(rest)
+			sink.ReadFromUDPAddrPort(received)
 		}
 	}
 	b.ReportMetric(float64(spent[0].Nanoseconds())/float64(b.N), "bare-ns/packet")
--- a/node/reload.go
+++ b/node/reload.go
@@ -12,9 +12,9 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// settingsEvery is how often the settings file is checked, because it may change without
-// a signal. A check costs one system call.
-const settingsEvery = 2 * time.Second
+// settingsPollInterval is how often the settings file is checked, because it may change
+// without a signal. A check costs one system call.
+const settingsPollInterval = 2 * time.Second
 
 // watchSettings applies the settings file on SIGHUP and when the file has changed.
 //
@@ -24,26 +24,26 @@
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGHUP)
 	defer signal.Stop(c)
-	t := time.NewTicker(settingsEvery)
+	t := time.NewTicker(settingsPollInterval)
 	defer t.Stop()
-	at := modified(b.options.Settings)
+	appliedModTime := modTime(b.options.Settings)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-c:
 		case <-t.C:
-			if m := modified(b.options.Settings); m.Equal(at) {
+			if m := modTime(b.options.Settings); m.Equal(appliedModTime) {
 				continue
 			}
 		}
-		at = modified(b.options.Settings)
+		appliedModTime = modTime(b.options.Settings)
 		b.reload(apply)
 	}
 }
 
-// modified returns the modification time of the file, or the zero time if it cannot be read.
-func modified(path string) time.Time {
+// modTime returns the modification time of the file, or the zero time if it cannot be read.
+func modTime(path string) time.Time {
 	i, err := os.Stat(path)
 	if err != nil {
 		return time.Time{} // a file that is being replaced shows as modified at the next check
--- a/node/site_test.go
+++ b/node/site_test.go
@@ -35,9 +35,9 @@
 	agentIP    = "127.0.0.21"
 	callerIP   = "127.0.0.31"
 	testKey    = "1:9ow6wBZbFi9UENcfCNG3G_2_cuAmtEZM_WKjhHMBOf0"
-	// patience limits a step of a test. It is far longer than a step takes, so that tests
+	// stepTimeout limits a step of a test. It is far longer than a step takes, so that tests
 	// don't fail on a busy machine.
-	patience = 30 * time.Second
+	stepTimeout = 30 * time.Second
 )
 
 // freePorts returns a port for each name that is free on every address of the site.
@@ -129,7 +129,7 @@
 			if err != nil {
 				s.t.Error(err)
 			}
-		case <-time.After(patience):
+		case <-time.After(stepTimeout):
 			s.t.Error("the program did not stop in time")
 		}
 	}
@@ -138,7 +138,7 @@
 // eventually waits until f returns true, and fails the test if that takes too long.
 func (s *site) eventually(what string, f func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(stepTimeout); time.Now().Before(end); {
 		if f() {
 			return
 		}
--- a/node/store.go
+++ b/node/store.go
@@ -17,63 +17,63 @@
 const (
 	// storeTimeout limits a call to the store. A slow store answers well within it.
 	storeTimeout = 1500 * time.Millisecond
-	// firstTimeout limits the first attempts of a read; it doubles after every five
+	// initialReadTimeout limits the first attempts of a read; it doubles after every five
 	// failures. A slow store answers within it. A store that did not respond when a
 	// process started answers only on new connections, so a long wait on an old
 	// connection would delay the time at which the process can serve.
-	firstTimeout = 400 * time.Millisecond
-	// eagerMost is the longest delay between the attempts of a process that has read
-	// nothing yet. It applies only for eagerFor, so that an outage causes few calls.
-	eagerMost = 150 * time.Millisecond
-	eagerFor  = 8 * time.Second
-	// watchShort and watchLong are the longest waits of a watch. A watch can miss a
-	// change for good: the store may drop its history while the watch waits, or the
-	// connection may hang. Therefore a few balancers, chosen by rendezvous hashing, use
-	// short watches. They detect such a change with their next watch and notify the
-	// others, which use long watches, because each watch is a call to the store.
-	// watchShort is short enough to apply a missed change within the time that operators
-	// are promised.
-	watchShort = 3 * time.Second
-	watchLong  = 16 * time.Second
+	initialReadTimeout = 400 * time.Millisecond
+	// eagerMaxDelay is the longest delay between the attempts of a process that has read
+	// nothing yet. It applies only for eagerPeriod, so that an outage causes few calls.
+	eagerMaxDelay = 150 * time.Millisecond
+	eagerPeriod   = 8 * time.Second
+	// shortWatchWait and longWatchWait are the longest waits of short and long watches.
+	// A watch can miss a change for good: the store may drop its history while the watch
+	// waits, or the connection may hang. Therefore a few balancers, chosen by rendezvous
+	// hashing, use short watches. They detect such a change with their next watch and
+	// notify the others, which use long watches, because each watch is a call to the
+	// store. With shortWatchWait, a missed change is still applied within the time that
+	// operators are promised.
+	shortWatchWait = 3 * time.Second
+	longWatchWait  = 16 * time.Second
 	// watchGrace is how much longer than its wait a watch may take: a few times the
 	// response time of a slow store. On a hanging connection it delays the next attempt.
 	watchGrace = time.Second
-	// watchersLeast is how many balancers use short watches.
-	watchersLeast = 3
-	// retryFirst and retryMost are the first and the longest delay between calls to a
-	// store that does not answer. With at most a second, what operators wrote during an
-	// outage is still applied within the promised time.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = time.Second
+	// shortWatcherCount is how many balancers use short watches.
+	shortWatcherCount = 3
+	// initialRetryDelay and maxRetryDelay are the first and the longest delay between
+	// calls to a store that does not answer. With at most a second, what operators wrote
+	// during an outage is still applied within the time that they are promised.
+	initialRetryDelay = 100 * time.Millisecond
+	maxRetryDelay     = time.Second
 )
 
 // store gives a process access to the platform's store.
 type store struct {
 	current atomic.Pointer[platform.Client]
 	log     *events.Log
-	// watcher is true if this balancer is one of those that use short watches.
-	watcher atomic.Bool
-	// detached is true if the last call of a read failed.
+	// usesShortWatches is true if this balancer is one of those that use short watches.
+	usesShortWatches atomic.Bool
+	// detached is true if the last read failed.
 	detached atomic.Bool
 }
 
 func newStore(s *platform.Settings, l *events.Log) *store {
 	x := &store{log: l}
-	x.use(s)
+	x.updateAddress(s)
 	return x
 }
 
 // watchWait returns how long the next watch waits, with jitter.
 func (s *store) watchWait() time.Duration {
-	w := watchLong
-	if s.watcher.Load() {
-		w = watchShort
+	w := longWatchWait
+	if s.usesShortWatches.Load() {
+		w = shortWatchWait
 	}
 	return w/2 + rand.N(w/2)
 }
 
-// use updates the store's address from the settings.
-func (s *store) use(x *platform.Settings) {
+// updateAddress updates the store's address from the settings.
+func (s *store) updateAddress(x *platform.Settings) {
 	if c := s.current.Load(); c != nil && c.URL == x.Store {
 		return
 	}
@@ -85,73 +85,73 @@
 // client returns the client for the store's current address.
 func (s *store) client() *platform.Client { return s.current.Load() }
 
-// tries determines the timeouts of a task's calls to the store and the delays between
+// backoff determines the timeouts of a task's calls to the store and the delays between
 // its attempts.
-type tries struct {
-	n     int // failures since the last success
-	since time.Time
-	// hungry is true until the task's first success.
-	hungry bool
+type backoff struct {
+	failures int // failures since the last success
+	start    time.Time
+	// eager is true until the task's first success.
+	eager bool
 }
 
-func newTries() tries { return tries{since: time.Now(), hungry: true} }
+func newBackoff() backoff { return backoff{start: time.Now(), eager: true} }
 
 // timeout returns the limit for the next read.
-func (t *tries) timeout() time.Duration {
-	return min(firstTimeout<<min(t.n/5, 4), storeTimeout)
+func (t *backoff) timeout() time.Duration {
+	return min(initialReadTimeout<<min(t.failures/5, 4), storeTimeout)
 }
 
-// pause returns the delay after a failure. It grows and is jittered, so that the processes
-// don't overload a store that recovers.
-func (t *tries) pause() time.Duration {
-	most := retryMost
-	if t.hungry && time.Since(t.since) < eagerFor {
-		most = eagerMost
+// nextDelay returns the delay after a failure. It grows and is jittered, so that the
+// processes don't overload a store that recovers.
+func (t *backoff) nextDelay() time.Duration {
+	maxDelay := maxRetryDelay
+	if t.eager && time.Since(t.start) < eagerPeriod {
+		maxDelay = eagerMaxDelay
 	}
-	p := min(retryFirst<<min(t.n, 8), most)
-	t.n++
+	p := min(initialRetryDelay<<min(t.failures, 8), maxDelay)
+	t.failures++
 	return p/2 + rand.N(p/2)
 }
 
-// succeeded resets the timeout and the delay after a success.
-func (t *tries) succeeded() { t.n, t.hungry = 0, false }
+// reset resets the timeout and the delay after a success.
+func (t *backoff) reset() { t.failures, t.eager = 0, false }
 
 // retry calls f until it succeeds, and returns false if the context ends first.
-func retry(ctx context.Context, t *tries, f func() error) bool {
+func retry(ctx context.Context, t *backoff, f func() error) bool {
 	for {
 		if f() == nil {
-			t.succeeded()
+			t.reset()
 			return true
 		}
-		if !clock.Sleep(ctx, t.pause()) {
+		if !clock.Sleep(ctx, t.nextDelay()) {
 			return false
 		}
 	}
 }
 
-// lost records whether a read of the kind failed. It logs the first failure after a
-// success, and the first success after a failure.
-func (s *store) lost(was *bool, k platform.Kind, err error) {
+// trackOutcome records in failing and detached whether a read of the kind failed. It logs
+// the first failure after a success, and the first success after a failure.
+func (s *store) trackOutcome(failing *bool, k platform.Kind, err error) {
 	switch {
-	case err != nil && !*was:
+	case err != nil && !*failing:
 		s.log.Add(events.PlatformDown, slog.String("kind", string(k)), slog.String("error", err.Error()))
-	case err == nil && *was:
+	case err == nil && *failing:
 		s.log.Add(events.PlatformUp, slog.String("kind", string(k)))
 	}
-	*was = err != nil
-	s.detached.Store(*was)
+	*failing = err != nil
+	s.detached.Store(*failing)
 }
 
 // follow lists and then watches all objects of a kind until the context ends. It calls
-// take with the objects by name, and their revision, after each list and watch.
-func (s *store) follow(ctx context.Context, k platform.Kind, take func(map[string]platform.Object, platform.Revision)) {
+// onUpdate with the objects by name, and their revision, after each list and watch.
+func (s *store) follow(ctx context.Context, k platform.Kind, onUpdate func(map[string]platform.Object, platform.Revision)) {
 	var at platform.Revision
 	var down bool
 	all := map[string]platform.Object{}
-	t := newTries()
+	t := newBackoff()
 	for ctx.Err() == nil {
 		retry(ctx, &t, func() error {
-			x, err := s.next(ctx, k, at, t.timeout(), all)
+			x, err := s.listOrWatch(ctx, k, at, t.timeout(), all)
 			if errors.Is(err, platform.ErrGone) || err == nil && x < at {
 				// The store has dropped the history, or its answer is older than the
 				// known state: list everything again.
@@ -159,20 +159,20 @@
 				return err
 			}
 			if ctx.Err() == nil {
-				s.lost(&down, k, err)
+				s.trackOutcome(&down, k, err)
 			}
 			if err == nil {
 				at = x
-				take(all, at)
+				onUpdate(all, at)
 			}
 			return err
 		})
 	}
 }
 
-// next waits for changes after the revision and applies them to all, or replaces all with
-// a list if the revision is 0. It returns the new revision.
-func (s *store) next(ctx context.Context, k platform.Kind, at platform.Revision, timeout time.Duration, all map[string]platform.Object) (platform.Revision, error) {
+// listOrWatch waits for changes after the revision and applies them to all, or replaces
+// all with a list if the revision is 0. It returns the new revision.
+func (s *store) listOrWatch(ctx context.Context, k platform.Kind, at platform.Revision, timeout time.Duration, all map[string]platform.Object) (platform.Revision, error) {
 	if at == 0 {
 		ctx, stop := context.WithTimeout(ctx, timeout)
 		defer stop()
@@ -203,23 +203,23 @@
 	return x.At, nil
 }
 
-// put writes the record to the store, replaces any other one, and reports whether it
+// putRecord writes the record to the store, replaces any other one, and reports whether it
 // created the record.
 //
 // The record may exist already because the answer to an earlier write was lost after the
 // write took effect, or because an earlier VM had the same address. The store then refuses
-// to create it and returns the existing one. put accepts that if it is equal, and otherwise
-// replaces it on condition of its revision.
-func (s *store) put(ctx context.Context, name string, p platform.Process) (created bool) {
-	t := newTries()
+// to create it and returns the existing one. putRecord keeps that one if it is equal, and
+// otherwise replaces it, unless its revision has changed.
+func (s *store) putRecord(ctx context.Context, name string, p platform.Process) (created bool) {
+	t := newBackoff()
 	retry(ctx, &t, func() error {
 		o, err := s.client().Create(ctx, platform.KindProcess, name, p)
 		if !errors.Is(err, platform.ErrConflict) {
 			created = err == nil
 			return err
 		}
-		var held platform.Process
-		if json.Unmarshal(o.Spec, &held) == nil && held == p {
+		var existing platform.Process
+		if json.Unmarshal(o.Spec, &existing) == nil && existing == p {
 			return nil
 		}
 		_, err = s.client().Update(ctx, platform.KindProcess, name, p, o.Meta.Revision)
@@ -230,7 +230,7 @@
 
 // putDraining records that an upstream drains. An existing record is kept.
 func (s *store) putDraining(ctx context.Context, name string, d platform.Draining) {
-	t := newTries()
+	t := newBackoff()
 	retry(ctx, &t, func() error {
 		_, err := s.client().Create(ctx, platform.KindDraining, name, d)
 		if errors.Is(err, platform.ErrConflict) {
@@ -240,10 +240,10 @@
 	})
 }
 
-// draining reads whether there is a record that the upstream drains. ok is false if the
+// readDraining reads whether there is a record that the upstream drains. ok is false if the
 // context ends first.
-func (s *store) draining(ctx context.Context, name string) (found, ok bool) {
-	t := newTries()
+func (s *store) readDraining(ctx context.Context, name string) (found, ok bool) {
+	t := newBackoff()
 	ok = retry(ctx, &t, func() error {
 		ctx, stop := context.WithTimeout(ctx, t.timeout())
 		defer stop()
@@ -268,11 +268,11 @@
 	}
 }
 
-// remove deletes the record from the store if it still equals p.
-func (s *store) remove(ctx context.Context, name string, p platform.Process) {
+// removeRecord deletes the record from the store if it still equals p.
+func (s *store) removeRecord(ctx context.Context, name string, p platform.Process) {
 	o, err := s.client().Get(ctx, platform.KindProcess, name)
-	var held platform.Process
-	if err != nil || json.Unmarshal(o.Spec, &held) != nil || held != p {
+	var existing platform.Process
+	if err != nil || json.Unmarshal(o.Spec, &existing) != nil || existing != p {
 		return
 	}
 	if err := s.client().Delete(ctx, platform.KindProcess, name, o.Meta.Revision); err != nil {
--- a/node/view.go
+++ b/node/view.go
@@ -38,16 +38,16 @@
 	headerNonce = "Pomeloway-Nonce"
 	headerTag   = "Pomeloway-Tag"
 	nonceLen    = 16
-	// viewMost limits the size of a view. It fits the largest configuration and the
+	// maxViewSize limits the size of a view. It fits the largest configuration and the
 	// records of a large fleet.
-	viewMost = 8 << 20
+	maxViewSize = 8 << 20
 	// viewTimeout limits a request. It allows for a busy peer in another region.
 	viewTimeout = time.Second
 )
 
 // viewTag returns the hexadecimal HMAC-SHA-256 of the parts, each followed by a zero byte.
-func viewTag(secret []byte, parts ...[]byte) string {
-	h := hmac.New(sha256.New, secret)
+func viewTag(key []byte, parts ...[]byte) string {
+	h := hmac.New(sha256.New, key)
 	for _, p := range parts {
 		h.Write(p)
 		h.Write([]byte{0})
@@ -56,11 +56,11 @@
 }
 
 // viewHandler serves the view to clients that have the fleet's key.
-func viewHandler(secret []byte, view func() View) http.Handler {
+func viewHandler(key []byte, view func() View) http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET "+viewPath, func(w http.ResponseWriter, r *http.Request) {
 		n := []byte(r.Header.Get(headerNonce))
-		if len(n) != 2*nonceLen || !hmac.Equal([]byte(r.Header.Get(headerTag)), []byte(viewTag(secret, n))) {
+		if len(n) != 2*nonceLen || !hmac.Equal([]byte(r.Header.Get(headerTag)), []byte(viewTag(key, n))) {
 			http.Error(w, "not of this fleet", http.StatusForbidden)
 			return
 		}
@@ -69,7 +69,7 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		w.Header().Set(headerTag, viewTag(secret, n, b))
+		w.Header().Set(headerTag, viewTag(key, n, b))
 		w.Write(b)
 	})
 	return m
@@ -81,7 +81,7 @@
 }}
 
 // fetchView requests the view of the balancer at the address and verifies its tag.
-func fetchView(ctx context.Context, secret []byte, a netip.AddrPort) (View, error) {
+func fetchView(ctx context.Context, key []byte, a netip.AddrPort) (View, error) {
 	var v View
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.String()+viewPath, nil)
 	if err != nil {
@@ -89,17 +89,17 @@
 	}
 	n := []byte(hex.EncodeToString(randomBytes(nonceLen)))
 	r.Header.Set(headerNonce, string(n))
-	r.Header.Set(headerTag, viewTag(secret, n))
+	r.Header.Set(headerTag, viewTag(key, n))
 	x, err := viewClient.Do(r)
 	if err != nil {
 		return v, eris.Wrap(err, "view")
 	}
 	defer x.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(x.Body, viewMost))
+	b, err := io.ReadAll(io.LimitReader(x.Body, maxViewSize))
 	if err != nil {
 		return v, eris.Wrap(err, "view")
 	}
-	if x.StatusCode != http.StatusOK || !hmac.Equal([]byte(x.Header.Get(headerTag)), []byte(viewTag(secret, n, b))) {
+	if x.StatusCode != http.StatusOK || !hmac.Equal([]byte(x.Header.Get(headerTag)), []byte(viewTag(key, n, b))) {
 		return v, eris.Errorf("view: status %d, or the tag is not made with this fleet's key", x.StatusCode)
 	}
 	return v, json.NewDecoder(bytes.NewReader(b)).Decode(&v)
