--- a/link/batch.go
+++ b/link/batch.go
@@ -7,14 +7,15 @@
 	"golang.org/x/net/ipv4"
 )
 
-// Queue collects datagrams that one call writes. It is for one goroutine.
+// Queue collects datagrams that are written with one system call. It is not safe for
+// concurrent use.
 type Queue struct {
 	write []ipv4.Message
 	addrs []net.UDPAddr
 	n     int
 }
 
-// NewQueue returns a queue with room for n datagrams.
+// NewQueue returns a queue with capacity for n datagrams.
 func NewQueue(n int) *Queue {
 	q := &Queue{write: make([]ipv4.Message, n), addrs: make([]net.UDPAddr, n)}
 	for i := range n {
@@ -25,10 +26,10 @@
 	return q
 }
 
-// Len returns how many datagrams wait for Flush.
+// Len returns the number of queued datagrams.
 func (q *Queue) Len() int { return q.n }
 
-// Send queues p, which must stay as it is until Flush.
+// Send queues p, which must not change until Flush returns.
 func (q *Queue) Send(p []byte, to netip.AddrPort) {
 	q.write[q.n].Buffers[0] = p
 	a := &q.addrs[q.n]
@@ -38,8 +39,8 @@
 	q.n++
 }
 
-// Flush writes what is queued and returns how many datagrams were lost. One
-// that the kernel refuses is skipped, so that it can't hold up the others.
+// Flush writes the queued datagrams and returns how many were lost. A datagram that the
+// kernel refuses is skipped, so that it doesn't block the others.
 func (q *Queue) Flush(c *ipv4.PacketConn) (lost int) {
 	w := q.write[:q.n]
 	q.n = 0
@@ -54,16 +55,16 @@
 	return lost
 }
 
-// Batch is a set of datagrams that one call reads and another writes. Each
-// keeps HeaderSize bytes free before the payload, so that adding a header
-// copies nothing. It is for one goroutine.
+// Batch is a set of datagrams that are read with one system call and written with another.
+// HeaderSize bytes before each payload are free, so that a header is added without copying
+// the payload. A batch is not safe for concurrent use.
 type Batch struct {
 	Queue
 	read []ipv4.Message
 	bufs [][]byte
 }
 
-// bufferSize holds a header and the longest UDP payload of an Ethernet frame.
+// bufferSize fits a header and the longest UDP payload of an Ethernet frame.
 const bufferSize = HeaderSize + maxUDP
 
 // NewBatch returns a batch of n datagrams.
@@ -77,17 +78,18 @@
 	return b
 }
 
-// Read fills the batch with at least one datagram and returns how many.
+// Read waits for at least one datagram, reads as many as are available and fit into the
+// batch, and returns their number.
 func (b *Batch) Read(c *ipv4.PacketConn) (int, error) {
 	return c.ReadBatch(b.read, 0)
 }
 
-// Payload returns the i-th datagram that was read.
+// Payload returns the payload of the i-th datagram that was read.
 func (b *Batch) Payload(i int) []byte {
 	return b.bufs[i][HeaderSize : HeaderSize+b.read[i].N]
 }
 
-// From returns the source of the i-th datagram that was read.
+// From returns the source address of the i-th datagram that was read.
 func (b *Batch) From(i int) netip.AddrPort {
 	a, ok := b.read[i].Addr.(*net.UDPAddr)
 	if !ok {
@@ -100,7 +102,7 @@
 // Header returns the free bytes before the i-th datagram.
 func (b *Batch) Header(i int) []byte { return b.bufs[i][:HeaderSize] }
 
-// SendWithHeader queues the i-th datagram with the header before it.
+// SendWithHeader queues the i-th datagram together with the header before it.
 func (b *Batch) SendWithHeader(i int, to netip.AddrPort) {
 	b.Send(b.bufs[i][:HeaderSize+b.read[i].N], to)
 }
--- a/link/link.go
+++ b/link/link.go
@@ -1,13 +1,13 @@
-// Package link is the datagram protocol between balancers and agents: a fixed
-// header with the caller's address before a caller's datagram, and heartbeats.
+// Package link implements the datagram protocol between balancers and agents: heartbeats,
+// and callers' datagrams behind a header of fixed length that contains the caller's address.
 //
-// Every header carries a SipHash-2-4 tag of 128 bits under a key of the fleet.
-// The tag covers the header alone: the payload is QUIC and authenticates
-// itself, so a replayed header gives an attacker no more than forging the
-// caller's address on the fabric would. Weighed against it: PROXY protocol v2
-// (its library allocates for each datagram and has no tag), AES-GCM (one key in
-// 400 senders would need nonces that never meet) and HMAC-SHA-256 (slower by
-// the measurement in docs/DESIGN.md).
+// Every header carries a 128-bit SipHash-2-4 tag under a key of the fleet. The tag covers
+// only the header. The payload is QUIC, which authenticates itself, so replaying a header
+// gives an attacker no more than forging the caller's address on the network would.
+//
+// Alternatives that were considered: PROXY protocol v2 (its library allocates memory for
+// each datagram and has no tag), AES-GCM (400 senders that share a key would have to ensure
+// that no nonce is used twice) and HMAC-SHA-256 (slower, as measured in docs/DESIGN.md).
 package link
 
 import (
@@ -21,7 +21,8 @@
 	"pomeloway.example/pomeloway/keyring"
 )
 
-// Layout of the header, in bytes.
+// Layout of the header: magic is its first byte, and the constants from atMagic to atTag
+// are the offsets of its fields in bytes.
 const (
 	magic        = 0xb7
 	atMagic      = 0
@@ -38,20 +39,22 @@
 	atCandidates = 32
 	atNumber     = 56
 	atTag        = 64
-	candidateLen = 6
-	// HeaderSize is the length of a header.
+	candidateLen = 6 // length of a candidate's IPv4 address and port
+	// HeaderSize is the length of a header in bytes.
 	HeaderSize = 80
 )
 
 const (
-	// MaxCandidates is how many agents an opening may try.
+	// MaxCandidates is the maximum number of agents to which a new flow is offered.
 	MaxCandidates = 4
-	// mtu less the IP and UDP headers.
+	// maxUDP is the longest UDP payload of an Ethernet frame: the MTU minus the IP and
+	// UDP headers.
 	maxUDP = 1500 - 28
-	// MaxPayload is the largest datagram that is carried. Callers that probe
-	// for more lose the probe and settle below it, so nothing is fragmented.
+	// MaxPayload is the length of the longest caller's datagram that is forwarded. Larger
+	// path MTU probes of callers are lost, so callers stay below it and nothing is
+	// fragmented.
 	MaxPayload = maxUDP - HeaderSize
-	// MaxSkew is how far the clocks of two VMs may differ.
+	// MaxSkew is the maximum difference between the clocks of two VMs.
 	MaxSkew = 30 * time.Second
 )
 
@@ -60,39 +63,43 @@
 
 // Kinds of messages.
 const (
-	// KindForward carries a datagram of an established flow to its agent.
+	// KindForward carries a caller's datagram of an established flow to the flow's agent.
 	KindForward Kind = iota + 1
-	// KindOpen carries a datagram that may open a flow, with its candidates.
+	// KindOpen carries a caller's datagram that may open a flow, with the candidates.
 	KindOpen
 	// KindReturn carries a datagram from an agent to a caller.
 	KindReturn
-	// KindHeartbeat says that an agent is there.
+	// KindHeartbeat is a liveness message that the receiver answers.
 	KindHeartbeat
-	// KindHeartbeatAck says that the balancer is there, too.
+	// KindHeartbeatAck is the answer to a heartbeat.
 	KindHeartbeatAck
 	kindEnd
 )
 
-// Message is a header in decoded form.
+// Message is a decoded header.
 type Message struct {
 	Kind    Kind
 	Zone    bundle.ZoneID
 	Service bundle.ServiceID
-	// Position is the index of the receiver among the candidates.
+	// Position is the receiver's index among the candidates, or Count in an opening that
+	// goes back to the agent that passed it on.
 	Position uint8
-	Count    uint8
-	// Load is the sender's open flows, capped at the field's size.
-	Load       uint16
-	Caller     netip.AddrPort
+	// Count is the number of candidates.
+	Count uint8
+	// Load is the number of the sender's open flows, at most the field's maximum.
+	Load uint16
+	// Caller is the address of the caller.
+	Caller netip.AddrPort
+	// Candidates are the agents to which a new flow is offered, in order.
 	Candidates [MaxCandidates]netip.AddrPort
-	// Number is the sender's incarnation in a heartbeat, and in an opening the agents
-	// that have passed it on.
+	// Number is the sender's incarnation in a heartbeat, and the number of agents that
+	// have passed on an opening.
 	Number uint64
-	// Sent is when the message was made, in Unix seconds.
+	// Sent is when the message was created, in Unix seconds.
 	Sent uint32
 }
 
-// Key tags messages under one fleet secret.
+// Key authenticates messages with tags. It is derived from a fleet secret.
 type Key struct {
 	id     bundle.KeyID
 	k0, k1 uint64
@@ -104,10 +111,10 @@
 	return Key{id: s.ID(), k0: binary.BigEndian.Uint64(b), k1: binary.BigEndian.Uint64(b[8:])}
 }
 
-// Keys are the link keys in force, the current one first.
+// Keys are the accepted link keys. The first one is the current key.
 type Keys []Key
 
-// NewKeys derives the link keys of a ring.
+// NewKeys derives the link keys of the secrets in a ring.
 func NewKeys(r keyring.Ring) Keys {
 	var ks Keys
 	for _, s := range r {
@@ -119,12 +126,12 @@
 // ID returns the id of the secret that the key derives from.
 func (k Key) ID() bundle.KeyID { return k.id }
 
-// Tag returns the keyed hash of two pieces of a message.
+// Tag returns a keyed hash of the two parts of a message.
 func (k Key) Tag(head, rest []byte) uint64 {
 	return siphash.Hash(k.k0, siphash.Hash(k.k0, k.k1, head)^k.k1, rest)
 }
 
-// Find returns the key with the id.
+// Find returns the key that derives from the secret with the id.
 func (ks Keys) Find(id byte) (Key, bool) {
 	for _, k := range ks {
 		if byte(k.id) == id {
@@ -134,7 +141,7 @@
 	return Key{}, false
 }
 
-// Put writes the header of m to the first HeaderSize bytes of b.
+// Put encodes m and its tag into the first HeaderSize bytes of b.
 func (k Key) Put(b []byte, m *Message) {
 	_ = b[HeaderSize-1]
 	clear(b[:HeaderSize])
@@ -155,14 +162,16 @@
 	binary.BigEndian.PutUint64(b[atTag+8:], t1)
 }
 
+// putCandidate encodes the address of a candidate into b.
 func putCandidate(b []byte, a netip.AddrPort) {
 	x := a.Addr().As4()
 	copy(b, x[:])
 	binary.BigEndian.PutUint16(b[4:], a.Port())
 }
 
-// Get reads the header of b into m and returns the payload. It returns false
-// for a message of an unknown sender, which must change nothing.
+// Get decodes the header of b into m and returns the payload. It returns false if the
+// header is malformed or its tag is not made with one of the keys. Such a message must have
+// no effect.
 func (ks Keys) Get(b []byte, m *Message) ([]byte, bool) {
 	if len(b) < HeaderSize || b[atMagic] != magic || !ks.authentic(b) {
 		return nil, false
@@ -185,6 +194,7 @@
 	return b[HeaderSize:], true
 }
 
+// authentic reports whether the tag of the header is valid under one of the keys.
 func (ks Keys) authentic(b []byte) bool {
 	for _, k := range ks {
 		if byte(k.id) != b[atKey] {
@@ -198,9 +208,8 @@
 	return false
 }
 
-// Fresh reports whether a heartbeat was made near now. A recorded heartbeat
-// that is replayed later would keep a dead process alive; it shows as an old
-// time under a valid tag.
+// Fresh reports whether a heartbeat was created within MaxSkew of now. A replayed heartbeat
+// would make a dead process appear alive. Its tag is valid, but its time is old.
 func (m *Message) Fresh(now time.Time) bool {
 	d := now.Sub(time.Unix(int64(m.Sent), 0))
 	return d > -MaxSkew && d < MaxSkew
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -9,6 +9,7 @@
 	"pomeloway.example/pomeloway/keyring"
 )
 
+// message returns a message with all fields set.
 func message() Message {
 	return Message{
 		Kind: KindOpen, Zone: 2, Service: 7, Position: 1, Count: 3, Load: 9, Number: 1 << 40, Sent: 1_800_000_000,
@@ -26,13 +27,13 @@
 	k.Put(b, &m)
 	p, ok := Keys{k}.Get(b, &got)
 	if !ok || string(p) != "payload" || got != m {
-		t.Errorf("came back as %+v, %q, %t", got, p, ok)
+		t.Errorf("the decoded header is %+v, payload %q, ok %t", got, p, ok)
 	}
 }
 
-// Somebody on the network between balancers and agents sends datagrams of their
-// own, or changes some on their way, to put words into a caller's mouth. Each
-// bit of the header is guarded; a foreign key is not in force.
+// Guards against an attacker on the network between balancers and agents who forges or
+// changes datagrams to impersonate a caller. A change of any bit of the header and a header
+// under an unknown key must be refused.
 func TestUnknownSendersAreRefused(t *testing.T) {
 	k, foreign := NewKey(keyring.NewSecret(1)), NewKey(keyring.NewSecret(1))
 	m := message()
@@ -42,17 +43,17 @@
 		c := bytes.Clone(b)
 		c[i/8] ^= 1 << (i % 8)
 		if _, ok := (Keys{k}).Get(c, &Message{}); ok {
-			t.Errorf("a header with bit %d flipped was believed", i)
+			t.Errorf("a header with bit %d flipped was accepted", i)
 		}
 	}
 	foreign.Put(b, &m)
 	if _, ok := (Keys{k}).Get(b, &Message{}); ok {
-		t.Error("a header under a foreign key was believed")
+		t.Error("a header under an unknown key was accepted")
 	}
 }
 
-// A recorded heartbeat is sent again an hour later, to make a dead balancer
-// seem alive to an agent. Its tag is right; its time is not.
+// Guards against an attacker who records a heartbeat and sends it again an hour later, so
+// that a dead balancer appears alive to an agent. Its tag is valid, but its time is old.
 func TestReplayedHeartbeatIsNotFresh(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	for name, x := range map[string]struct {
@@ -62,7 +63,7 @@
 		t.Run(name, func(t *testing.T) {
 			m := Message{Sent: uint32(now.Add(-x.age).Unix())}
 			if m.Fresh(now) != x.want {
-				t.Errorf("fresh at an age of %v: %t", x.age, !x.want)
+				t.Errorf("for a heartbeat with an age of %v, Fresh returned %t", x.age, !x.want)
 			}
 		})
 	}
@@ -72,7 +73,7 @@
 	k := NewKey(keyring.NewSecret(1))
 	ks, m, b := Keys{k}, message(), make([]byte, HeaderSize)
 	if n := testing.AllocsPerRun(1000, func() { k.Put(b, &m); ks.Get(b, &m) }); n > 0 {
-		t.Errorf("%v allocations a header", n)
+		t.Errorf("%v allocations per header", n)
 	}
 }
 
@@ -86,9 +87,9 @@
 	f.Fuzz(func(t *testing.T, p []byte) {
 		var m Message
 		if _, ok := (Keys{k}).Get(p, &m); ok && int(m.Count) > MaxCandidates {
-			t.Error("more candidates than the header holds")
+			t.Error("the decoded header has more than MaxCandidates candidates")
 		}
-		// The same with a right tag: what any process of the fleet may send.
+		// The same fields with a valid tag, as any process of the fleet may send them.
 		if len(p) >= HeaderSize {
 			var tagged Message
 			c := bytes.Clone(p)
--- a/link/socket.go
+++ b/link/socket.go
@@ -10,20 +10,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// socketBuffer rides out a pause of some milliseconds at full rate.
+// socketBuffer is the size of a socket's read and write buffers. It absorbs a pause of some
+// milliseconds at full rate.
 const socketBuffer = 4 << 20
 
-// Socket is a UDP socket with its batched form.
+// Socket is a UDP socket, with a second interface for batched reads and writes.
 type Socket struct {
 	*net.UDPConn
 	Batched *ipv4.PacketConn
 }
 
-// Listen opens a socket on the address.
+// Listen opens a UDP socket on the address.
 func Listen(a netip.AddrPort) (*Socket, error) { return listen(a, nil) }
 
-// ListenShared opens one of several sockets on the address; the kernel spreads
-// callers over them, each caller to one.
+// ListenShared opens one of several UDP sockets on the same address. The kernel distributes
+// callers among the sockets and delivers all datagrams of a caller to the same one.
 func ListenShared(a netip.AddrPort) (*Socket, error) {
 	return listen(a, func(_, _ string, c syscall.RawConn) error {
 		var err error
@@ -43,7 +44,7 @@
 		return nil, err
 	}
 	c := p.(*net.UDPConn)
-	// Smaller buffers than asked for are no fault: the kernel's limit holds.
+	// The kernel may limit the buffers to a smaller size, which is acceptable.
 	c.SetReadBuffer(socketBuffer)
 	c.SetWriteBuffer(socketBuffer)
 	return &Socket{UDPConn: c, Batched: ipv4.NewPacketConn(c)}, nil
