--- a/link/batch.go
+++ b/link/batch.go
@@ -65,7 +65,7 @@
 }
 
 // bufferSize fits a header and the longest UDP payload of an Ethernet frame.
-const bufferSize = HeaderSize + maxUDP
+const bufferSize = HeaderSize + maxUDPPayload
 
 // NewBatch returns a batch of n datagrams.
 func NewBatch(n int) *Batch {
--- a/link/link.go
+++ b/link/link.go
@@ -47,13 +47,13 @@
 const (
 	// MaxCandidates is the maximum number of agents to which a new flow is offered.
 	MaxCandidates = 4
-	// maxUDP is the longest UDP payload of an Ethernet frame: the MTU minus the IP and
-	// UDP headers.
-	maxUDP = 1500 - 28
+	// maxUDPPayload is the longest UDP payload of an Ethernet frame: the MTU minus the IP
+	// and UDP headers.
+	maxUDPPayload = 1500 - 28
 	// MaxPayload is the length of the longest caller's datagram that is forwarded. Larger
 	// path MTU probes of callers are lost, so callers stay below it and nothing is
 	// fragmented.
-	MaxPayload = maxUDP - HeaderSize
+	MaxPayload = maxUDPPayload - HeaderSize
 	// MaxSkew is the maximum difference between the clocks of two VMs.
 	MaxSkew = 30 * time.Second
 )
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -35,7 +35,7 @@
 // changes datagrams to impersonate a caller. A change of any bit of the header and a header
 // under an unknown key must be refused.
 func TestUnknownSendersAreRefused(t *testing.T) {
-	k, foreign := NewKey(keyring.NewSecret(1)), NewKey(keyring.NewSecret(1))
+	k, otherKey := NewKey(keyring.NewSecret(1)), NewKey(keyring.NewSecret(1))
 	m := message()
 	b := make([]byte, HeaderSize)
 	k.Put(b, &m)
@@ -46,7 +46,7 @@
 			t.Errorf("a header with bit %d flipped was accepted", i)
 		}
 	}
-	foreign.Put(b, &m)
+	otherKey.Put(b, &m)
 	if _, ok := (Keys{k}).Get(b, &Message{}); ok {
 		t.Error("a header under an unknown key was accepted")
 	}
--- a/link/socket.go
+++ b/link/socket.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// socketBuffer is the size of a socket's read and write buffers. It absorbs a pause of some
-// milliseconds at full rate.
-const socketBuffer = 4 << 20
+// socketBufferSize is the size of a socket's read and write buffers. It absorbs a pause of
+// some milliseconds at full rate.
+const socketBufferSize = 4 << 20
 
 // Socket is a UDP socket, with a second interface for batched reads and writes.
 type Socket struct {
@@ -45,8 +45,8 @@
 	}
 	c := p.(*net.UDPConn)
 	// The kernel may limit the buffers to a smaller size, which is acceptable.
-	c.SetReadBuffer(socketBuffer)
-	c.SetWriteBuffer(socketBuffer)
+	c.SetReadBuffer(socketBufferSize)
+	c.SetWriteBuffer(socketBufferSize)
 	return &Socket{UDPConn: c, Batched: ipv4.NewPacketConn(c)}, nil
 }
 
