--- a/node/loop.go
+++ b/node/loop.go
@@ -34,10 +34,11 @@
 	receivedAt time.Duration // when the datagram was read
 }
 
-// message returns the datagram, as a message from another process.
+// message returns the datagram, which must be a message from another process.
 func (b *buffer) message() []byte { return b.b[datagram.HeaderLen : datagram.HeaderLen+b.n] }
 
-// packet returns the datagram, as a packet that follows free space for a header.
+// packet returns the free space for a header, followed by the datagram, which must be a
+// packet.
 func (b *buffer) packet() []byte { return b.b[:datagram.HeaderLen+b.n] }
 
 // loop is an event loop: a single goroutine makes all decisions. Socket readers and other
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -150,8 +150,9 @@
 	}
 }
 
-// Guards against the record of an earlier VM at the same address that stays in the store,
-// against repeated writes of one record, and against a process that removes another's record.
+// Guards against an earlier VM's record that is not replaced, although a new VM has its
+// address; against repeated writes of the same record; and against a process that removes
+// a record of another process.
 func TestRecordIsPutWhateverWasThere(t *testing.T) {
 	mine := platform.Process{Address: "10.0.0.1", Role: platform.RoleAgent, Zone: "a", Service: "letters"}
 	other := mine
@@ -321,7 +322,7 @@
 	})
 }
 
-// Guards against a tick that allocates memory, because it runs after each packet.
+// Guards against a tick that allocates memory. It runs after each packet.
 func TestTickAfterAPacketDoesNotAllocate(t *testing.T) {
 	b := &Balancer{store: &store{}, balancer: &datagram.Balancer{Self: 1}}
 	b.balancer.Start()
--- a/node/offer_test.go
+++ b/node/offer_test.go
@@ -10,9 +10,9 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// Guards against balancers without a configuration that wait for their next round although
-// another balancer has one. The second balancer can reach neither the store nor seeds, so
-// that it can get the configuration only from the balancer that offers it.
+// Guards against a balancer without a configuration that waits for its next sync round
+// although another balancer offers one. The second balancer can reach neither the store nor
+// seeds, so it can get the configuration only from the offer.
 func TestFirstConfigurationIsPassedOn(t *testing.T) {
 	s := newSite(t)
 	first, err := NewBalancer(s.options(balancerIP), nil)
@@ -79,9 +79,9 @@
 	requireCatchUp(t, func(s []netip.AddrPort) []netip.AddrPort { return s })
 }
 
-// Guards against a balancer that missed a configuration in its watch and gets it late. This
-// happens if it asks its peers in turn, many of which don't answer, and not the one that
-// reported the configuration.
+// Guards against a balancer that receives a configuration late after its watch missed it.
+// This happens if it asks its peers in turn, many of which don't answer, instead of the one
+// that reported the configuration.
 func TestHolderOfANewerConfigurationIsAsked(t *testing.T) {
 	requireCatchUp(t, func([]netip.AddrPort) []netip.AddrPort {
 		return slices.Repeat([]netip.AddrPort{netip.MustParseAddrPort("127.0.0.13:1")}, 1000)
--- a/node/view.go
+++ b/node/view.go
@@ -19,8 +19,8 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// View is what a balancer has read from the store. It serves it to balancers that cannot
-// read the store themselves.
+// View is what a balancer has read from the store. Balancers that cannot read the store
+// themselves fetch it.
 type View struct {
 	Configuration platform.Object   `json:"configuration"`
 	Evacuations   []platform.Object `json:"evacuations"`
