--- a/node/balancer.go
+++ b/node/balancer.go
@@ -18,7 +18,7 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// Balancer is the program of an entry VM.
+// Balancer runs on an entry VM and forwards callers' packets to the agents.
 type Balancer struct {
 	*base
 	loop     *loop
@@ -28,21 +28,23 @@
 	store    *store
 	ready    atomic.Bool
 	view     atomic.Pointer[View]
-	// newest is the latest version that any balancer has told of, and holder the one that
-	// told of it last.
-	newest datagram.Version
-	holder datagram.IP
-	// offers are balancers that have a configuration when this one has none; one is
-	// enough.
+	// newestVersion is the latest configuration version that any process has reported,
+	// and holder the process that reported it last. Only the loop uses them.
+	newestVersion datagram.Version
+	holder        datagram.IP
+	// offers passes on processes that have a configuration while this balancer has none.
+	// One is enough, so others are dropped while it waits.
 	offers chan datagram.IP
-	behind int
-	// chosen is when it was last worked out whether this balancer watches shortly.
-	chosen time.Duration
-	ctx    context.Context
-	cancel context.CancelFunc
+	// roundsBehind counts the rounds of syncWithPeers since this balancer's configuration
+	// was the latest one known.
+	roundsBehind int
+	// watcherCheckedAt is when tick last checked whether this balancer uses short watches.
+	watcherCheckedAt time.Duration
+	ctx              context.Context
+	cancel           context.CancelFunc
 }
 
-// NewBalancer prepares a balancer; it opens its sockets.
+// NewBalancer creates a balancer and opens its UDP sockets.
 func NewBalancer(o Options, l *slog.Logger) (*Balancer, error) {
 	s, err := newBase(o, platform.RoleBalancer, l)
 	if err != nil {
@@ -63,11 +65,11 @@
 	b.balancer.Observe = s.observe
 	b.offers = make(chan datagram.IP, 1)
 	b.balancer.Behind = func(from datagram.IP, v datagram.Version) {
-		if v >= b.newest {
-			b.newest, b.holder = v, from
+		if v >= b.newestVersion {
+			b.newestVersion, b.holder = v, from
 		}
 		if b.balancer.Configured() != 0 {
-			return // the store tells it; if that fails, the rounds do
+			return // the store delivers it; if that fails, syncWithPeers fetches it
 		}
 		select {
 		case b.offers <- from:
@@ -75,7 +77,7 @@
 		}
 	}
 	b.view.Store(&View{})
-	b.store.watcher.Store(true) // until others are heard
+	b.store.usesShortWatches.Store(true) // until other balancers are known
 	b.balancer.Start()
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	return b, nil
@@ -91,8 +93,8 @@
 	b.loop.send(b.callers, p, netip.AddrPortFrom(ip.Addr(), b.settings.CallerPort))
 }
 
-func (b *Balancer) datagram(d *buffer, now time.Duration) {
-	if d.at == fromCaller {
+func (b *Balancer) handleDatagram(d *buffer, now time.Duration) {
+	if d.src == fromCaller {
 		b.balancer.HandleCaller(d.packet(), now)
 		return
 	}
@@ -102,15 +104,16 @@
 func (b *Balancer) tick(now time.Duration) time.Duration {
 	at := b.balancer.Tick(now)
 	b.ready.Store(b.balancer.Ready())
-	if now-b.chosen >= datagram.StatusEvery {
-		// Not at each packet: it sorts the balancers, and they change with statuses.
-		b.chosen, b.balancer.Detached = now, b.store.detached.Load()
-		b.store.watcher.Store(b.balancer.Among(watchersLeast, now))
+	if now-b.watcherCheckedAt >= datagram.StatusEvery {
+		// Not on each tick: Among sorts the balancers, which change only with status messages.
+		b.watcherCheckedAt, b.balancer.Detached = now, b.store.detached.Load()
+		b.store.usesShortWatches.Store(b.balancer.Among(shortWatcherCount, now))
 	}
 	return at
 }
 
-// Run serves until stopped ends, then leaves the routers' rotation and stops.
+// Run serves until stopped is done. It then reports that it is not ready, continues to
+// serve until routers have taken the balancer out of rotation, and returns.
 func (b *Balancer) Run(stopped context.Context) error {
 	defer b.cancel()
 	b.log.Add(events.Started, slog.String("role", string(b.role)), slog.Uint64("life", uint64(b.life)))
@@ -119,10 +122,10 @@
 	g.Add(func() error { return b.loop.run(b.ctx, b) }, func(error) { b.cancel() })
 	g.Add(func() error { return b.loop.read(b.link, fromProcess) }, func(error) { b.link.Close() })
 	g.Add(func() error { return b.loop.readCallers(b.callers) }, func(error) { b.callers.Close() })
-	for _, f := range []func(){b.followConfiguration, b.followEvacuations, b.followProcesses, b.followPeers} {
+	for _, f := range []func(){b.followConfiguration, b.followEvacuations, b.pollMembers, b.syncWithPeers} {
 		g.Add(func() error { f(); <-b.ctx.Done(); return nil }, func(error) { b.cancel() })
 	}
-	g.Add(func() error { return b.watchSettings(b.ctx, b.store.use) }, func(error) { b.cancel() })
+	g.Add(func() error { return b.watchSettings(b.ctx, b.store.updateAddress) }, func(error) { b.cancel() })
 	g.Add(func() error { return b.leave(stopped) }, func(error) { b.cancel() })
 	if err := addHTTP(&g, b.settings.Readiness, platform.ReadinessHandler(b.ready.Load)); err != nil {
 		return err
@@ -130,7 +133,7 @@
 	if err := b.addMetrics(&g, b.loop, func() any { return b.balancer.Status(b.loop.now()) }); err != nil {
 		return err
 	}
-	if err := addHTTP(&g, b.settings.View, viewHandler(b.secret, func() View { return *b.view.Load() })); err != nil {
+	if err := addHTTP(&g, b.settings.View, viewHandler(b.viewKey, func() View { return *b.view.Load() })); err != nil {
 		return err
 	}
 	err := g.Run()
@@ -138,16 +141,17 @@
 	return err
 }
 
+// followConfiguration applies the configurations of the store until the program ends.
 func (b *Balancer) followConfiguration() {
 	b.store.follow(b.ctx, platform.KindConfiguration, func(all map[string]platform.Object, _ platform.Revision) {
 		if o, ok := all[platform.ConfigurationName]; ok {
-			b.takeConfiguration(o, "store")
+			b.applyConfiguration(o, "store")
 		}
 	})
 }
 
-// takeConfiguration brings a configuration into force, unless a newer one is.
-func (b *Balancer) takeConfiguration(o platform.Object, from string) {
+// applyConfiguration applies a configuration unless a newer one is in force.
+func (b *Balancer) applyConfiguration(o platform.Object, from string) {
 	c, err := platform.DecodeConfiguration(o.Spec)
 	if err != nil {
 		b.log.Add(events.ConfigurationRefused, slog.Uint64("revision", uint64(o.Meta.Revision)), slog.String("error", err.Error()))
@@ -159,7 +163,7 @@
 			return
 		}
 		if first {
-			b.balancer.Tell(now) // others that have none may ask here
+			b.balancer.Tell(now) // balancers without a configuration can fetch it from this one
 		}
 		b.updateView(func(v *View) { v.Configuration = o })
 		b.log.Add(events.ConfigurationInForce, slog.Uint64("version", uint64(c.Version)),
@@ -167,13 +171,15 @@
 	})
 }
 
+// followEvacuations applies the evacuations of the store until the program ends.
 func (b *Balancer) followEvacuations() {
 	b.store.follow(b.ctx, platform.KindEvacuation, func(all map[string]platform.Object, at platform.Revision) {
-		b.takeEvacuations(slices.Collect(maps.Values(all)), at, "store")
+		b.applyEvacuations(slices.Collect(maps.Values(all)), at, "store")
 	})
 }
 
-func (b *Balancer) takeEvacuations(os []platform.Object, at platform.Revision, from string) {
+// applyEvacuations applies the evacuations as of a revision, unless later ones are known.
+func (b *Balancer) applyEvacuations(os []platform.Object, at platform.Revision, from string) {
 	b.loop.do(b.ctx, func(now time.Duration) {
 		b.updateView(func(v *View) {
 			if at > v.EvacuationsAt {
@@ -186,14 +192,17 @@
 	})
 }
 
-// listEvery is how often the records of members are read again, for a tenth of
-// a call's price, in case an agent could not reach this balancer by itself.
-const listEvery = 10 * time.Second
+// memberListInterval is how often the member records are read again, in case an agent
+// could not reach this balancer itself. These reads accept stale data, which costs a
+// tenth of a current read.
+const memberListInterval = 10 * time.Second
 
-func (b *Balancer) followProcesses() {
+// pollMembers reads the member records at regular intervals until the program ends.
+// Only the first read has to be current.
+func (b *Balancer) pollMembers() {
 	var down bool
 	fresh := true
-	t := newTries()
+	t := newBackoff()
 	for b.ctx.Err() == nil {
 		retry(b.ctx, &t, func() error {
 			ctx, stop := context.WithTimeout(b.ctx, t.timeout())
@@ -203,30 +212,33 @@
 				list = b.store.client().List
 			}
 			l, err := list(ctx, platform.KindProcess)
-			b.store.lost(&down, platform.KindProcess, err)
+			b.store.trackOutcome(&down, platform.KindProcess, err)
 			if err == nil {
-				b.takeMembers(l.Items, fresh)
+				b.applyMembers(l.Items, fresh)
 			}
 			return err
 		})
 		fresh = false
-		if !clock.Sleep(b.ctx, listEvery) {
+		if !clock.Sleep(b.ctx, memberListInterval) {
 			return
 		}
 	}
 }
 
-func (b *Balancer) takeMembers(os []platform.Object, fresh bool) {
+// applyMembers applies the member records, and removes those of dead members that this
+// balancer is responsible for. fresh means that the records were read from the store in
+// this run and are current; this balancer's own record is then written if it is missing.
+func (b *Balancer) applyMembers(os []platform.Object, fresh bool) {
 	var ms []datagram.Member
 	records := map[datagram.IP]platform.Object{}
-	found := false
+	ownRecordFound := false
 	for _, o := range os {
 		m, err := platform.DecodeMember(o)
 		if err != nil {
 			b.log.Add(events.RecordRefused, slog.String("error", err.Error()))
 			continue
 		}
-		found = found || m.IP == b.self()
+		ownRecordFound = ownRecordFound || m.IP == b.self()
 		ms = append(ms, m)
 		records[m.IP] = o
 	}
@@ -239,16 +251,17 @@
 		return
 	}
 	for _, ip := range dead {
-		b.remove(records[ip])
+		b.removeDeadRecord(records[ip])
 	}
-	if !found && fresh {
-		go b.store.put(b.ctx, b.recordName(), b.record())
+	if !ownRecordFound && fresh {
+		go b.store.putRecord(b.ctx, b.recordName(), b.record())
 	}
 }
 
-// remove takes a dead member's record out of the store. It may have been written
-// again since it was read, which the condition on its revision shows.
-func (b *Balancer) remove(o platform.Object) {
+// removeDeadRecord deletes a dead member's record from the store. The delete is conditional
+// on the revision that was read, so it fails if the member has since written its record
+// again.
+func (b *Balancer) removeDeadRecord(o platform.Object) {
 	err := b.store.client().Delete(b.ctx, platform.KindProcess, o.Meta.Name, o.Meta.Revision)
 	if err != nil {
 		b.log.Add(events.RecordKept, slog.String("record", o.Meta.Name), slog.String("error", err.Error()))
@@ -258,26 +271,29 @@
 	b.store.removeDraining(b.ctx, o.Meta.Name)
 }
 
-// updateView changes what peers are told; it runs on the loop.
+// updateView changes the view that peers can fetch. It must run on the loop.
 func (b *Balancer) updateView(f func(*View)) {
 	v := *b.view.Load()
 	f(&v)
 	b.view.Store(&v)
 }
 
-// leaveRotation is how long a stopping balancer goes on serving: the routers ask
-// twice a second and take it out after two misses, and packets under way follow.
-const leaveRotation = 1600 * time.Millisecond
+// deregistrationDelay is how long a stopping balancer continues to serve. Routers check its
+// readiness twice a second and take it out of rotation after two failed checks, and
+// packets in flight arrive after that.
+const deregistrationDelay = 1600 * time.Millisecond
 
+// leave waits until the program is asked to stop, notifies the other processes, and waits
+// until routers have taken the balancer out of rotation.
 func (b *Balancer) leave(stopped context.Context) error {
 	if !b.awaitStop(stopped, b.ctx) {
 		return nil
 	}
 	b.loop.do(b.ctx, func(now time.Duration) { b.balancer.Leave(now) })
 	b.ready.Store(false)
-	clock.Sleep(b.ctx, min(leaveRotation, b.live.Load().Grace/2))
+	clock.Sleep(b.ctx, min(deregistrationDelay, b.live.Load().Grace/2))
 	return nil
 }
 
-// Kill ends the program at once.
+// Kill ends the program immediately, without notifying other processes.
 func (b *Balancer) Kill() { b.cancel() }
--- a/node/loop.go
+++ b/node/loop.go
@@ -13,7 +13,7 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// source says which socket a datagram came in at.
+// source is the socket from which a datagram was read.
 type source uint8
 
 const (
@@ -22,66 +22,72 @@
 	fromUpstream
 )
 
-// bufferLen holds a header and the longest datagram of the platform's links.
+// bufferLen fits a header and the longest datagram of the platform's network.
 const bufferLen = datagram.HeaderLen + 1500
 
-// buffer is a datagram with room for a header before it.
+// buffer holds a datagram, with free space for a header before it.
 type buffer struct {
-	b    [bufferLen]byte
-	n    int // length of the datagram, which begins at HeaderLen
-	from netip.AddrPort
-	at   source
-	came time.Duration // when it was read
+	b          [bufferLen]byte
+	n          int // length of the datagram, which starts at offset HeaderLen
+	from       netip.AddrPort
+	src        source
+	receivedAt time.Duration // when the datagram was read
 }
 
-// message returns the datagram as a message of another process.
+// message returns the datagram, which must be a message from another process.
 func (b *buffer) message() []byte { return b.b[datagram.HeaderLen : datagram.HeaderLen+b.n] }
 
-// packet returns the datagram as a packet with room for a header before it.
+// packet returns the free space for a header, followed by the datagram, which must be a
+// packet.
 func (b *buffer) packet() []byte { return b.b[:datagram.HeaderLen+b.n] }
 
-// loop is the one goroutine that owns the decisions; readers and other duties hand it
-// their events through two bounded rings.
+// loop is an event loop: a single goroutine makes all decisions. Socket readers and other
+// goroutines pass events to it through two bounded queues: one for callers' datagrams, and
+// one for all other events, which are called internal.
 //
-// What the fleet says goes before what callers send: it ends work that was begun, and a
-// balancer that takes on more than it can end repeats itself and ends nothing. A reader
-// that finds the fleet's ring full waits, and the kernel then drops datagrams. Of callers
-// those that have waited too long are dropped, as they are repeated soon.
+// Internal events take precedence, because messages of the fleet complete work that has
+// been started. A balancer that starts more than it can complete only repeats itself and
+// completes nothing. A reader that finds the internal queue full blocks, and the kernel
+// then drops datagrams. Callers' datagrams that have waited too long are dropped, because
+// callers soon send them again.
 type loop struct {
-	start   time.Time
-	events  chan any
-	callers chan *buffer
-	free    chan *buffer
-	// broken counts datagrams that could not be sent, dropped those of callers that
-	// were dropped.
+	start         time.Time
+	internalQueue chan any
+	callerQueue   chan *buffer
+	free          chan *buffer // buffers for reuse
+	// broken counts failed reads and writes of datagrams, dropped the callers' datagrams
+	// that were dropped from the queue.
 	broken, dropped atomic.Uint64
 }
 
 const (
-	// ringLen bounds the events that wait, and callersLen the datagrams of callers: what
-	// a large VM handles before they are too old.
-	ringLen    = 64
-	callersLen = 512
-	// callersPatience is how long a datagram of a caller may wait: half the time after
-	// which callers repeat themselves.
-	callersPatience = 100 * time.Millisecond
-	// fleetTurn is how many events of the fleet go before a datagram of a caller if both
-	// wait, so that neither stops the other.
-	fleetTurn = 8
+	// internalQueueLen and callerQueueLen are the capacities of the queues: as many events
+	// as a large VM handles before they are too old.
+	internalQueueLen = 64
+	callerQueueLen   = 512
+	// callerQueueTimeout is how long a caller's datagram may wait: half the time after
+	// which callers retransmit.
+	callerQueueTimeout = 100 * time.Millisecond
+	// maxInternalBurst is how many internal events are handled before one datagram of a
+	// caller if events wait in both queues, so that neither queue starves the other.
+	maxInternalBurst = 8
 )
 
-// beforeTick bounds the events that are handled before it is judged what is overdue.
-const beforeTick = 16
+// maxEventsPerTick limits the events that are handled between two ticks. Ticks check what
+// is overdue.
+const maxEventsPerTick = 16
 
 func newLoop() *loop {
 	return &loop{
-		start: time.Now(), events: make(chan any, ringLen), callers: make(chan *buffer, callersLen),
-		free: make(chan *buffer, ringLen+8),
+		start: time.Now(), internalQueue: make(chan any, internalQueueLen), callerQueue: make(chan *buffer, callerQueueLen),
+		free: make(chan *buffer, internalQueueLen+8),
 	}
 }
 
+// now returns the time since the loop was created.
 func (l *loop) now() time.Duration { return time.Since(l.start) }
 
+// buffer returns a released buffer, or a new one.
 func (l *loop) buffer() *buffer {
 	select {
 	case b := <-l.free:
@@ -91,6 +97,7 @@
 	}
 }
 
+// release makes a buffer available for reuse.
 func (l *loop) release(b *buffer) {
 	select {
 	case l.free <- b:
@@ -98,12 +105,12 @@
 	}
 }
 
-// do runs f on the loop and waits for it. It is false if the context ended first; f may
-// then run still, so nothing that it writes may be read.
+// do runs f on the loop and waits for it. It returns false if the context ends first. f
+// may then still run, so the caller must not read anything that f writes.
 func (l *loop) do(ctx context.Context, f func(now time.Duration)) bool {
 	done := make(chan struct{})
 	select {
-	case l.events <- func(now time.Duration) { f(now); close(done) }:
+	case l.internalQueue <- func(now time.Duration) { f(now); close(done) }:
 	case <-ctx.Done():
 		return false
 	}
@@ -115,9 +122,11 @@
 	}
 }
 
-// handler is what the loop runs.
+// handler handles the events of a loop.
 type handler interface {
-	datagram(b *buffer, now time.Duration)
+	// handleDatagram handles a datagram. Its buffer is reused afterwards.
+	handleDatagram(b *buffer, now time.Duration)
+	// tick handles what is due and returns the time of the next tick.
 	tick(now time.Duration) time.Duration
 }
 
@@ -126,13 +135,13 @@
 	next := h.tick(l.now())
 	t := time.NewTimer(next - l.now())
 	defer t.Stop()
-	sinceTick, turn := 0, 0
+	sinceTick, burst := 0, 0
 	for ctx.Err() == nil {
-		e := l.first(&turn)
+		e := l.nextQueued(&burst)
 		if e == nil {
 			select {
-			case e = <-l.events:
-			case b := <-l.callers:
+			case e = <-l.internalQueue:
+			case b := <-l.callerQueue:
 				e = b
 			case <-t.C:
 				next = h.tick(l.now())
@@ -143,8 +152,8 @@
 			}
 		}
 		l.handle(e, h)
-		if sinceTick++; sinceTick < beforeTick && len(l.events) > 0 {
-			continue // what waits may be the answer that is overdue
+		if sinceTick++; sinceTick < maxEventsPerTick && len(l.internalQueue) > 0 {
+			continue // an event in the queue may be the answer that a tick considers overdue
 		}
 		sinceTick = 0
 		if at := h.tick(l.now()); at < next {
@@ -155,22 +164,22 @@
 	return nil
 }
 
-// first returns what is next of the events that wait, or nil. The turn counts the events
-// of the fleet since the last datagram of a caller.
-func (l *loop) first(turn *int) any {
-	if *turn < fleetTurn {
+// nextQueued returns the next event of the two queues, or nil if both are empty. burst
+// counts the internal events since the last datagram of a caller.
+func (l *loop) nextQueued(burst *int) any {
+	if *burst < maxInternalBurst {
 		select {
-		case e := <-l.events:
-			*turn++
+		case e := <-l.internalQueue:
+			*burst++
 			return e
 		default:
 		}
 	}
-	*turn = 0
+	*burst = 0
 	for {
 		select {
-		case b := <-l.callers:
-			if l.now()-b.came < callersPatience {
+		case b := <-l.callerQueue:
+			if l.now()-b.receivedAt < callerQueueTimeout {
 				return b
 			}
 			l.drop(b)
@@ -180,46 +189,49 @@
 	}
 }
 
+// drop counts and releases a caller's datagram that is not handled.
 func (l *loop) drop(b *buffer) {
 	l.dropped.Add(1)
 	l.release(b)
 }
 
+// handle passes a datagram to the handler, or calls a function that do has queued.
 func (l *loop) handle(e any, h handler) {
 	switch e := e.(type) {
 	case *buffer:
-		h.datagram(e, l.now())
+		h.handleDatagram(e, l.now())
 		l.release(e)
 	case func(time.Duration):
 		e(l.now())
 	}
 }
 
-// read hands the socket's datagrams to the loop until the socket is closed.
-func (l *loop) read(c *net.UDPConn, at source) error {
-	return l.readTo(c, at, func(b *buffer) { l.events <- b })
+// read adds the socket's datagrams to the internal queue until the socket is closed.
+func (l *loop) read(c *net.UDPConn, src source) error {
+	return l.readInto(c, src, func(b *buffer) { l.internalQueue <- b })
 }
 
-// readCallers does so with those of callers.
-func (l *loop) readCallers(c *net.UDPConn) error { return l.readTo(c, fromCaller, l.addCaller) }
+// readCallers adds the socket's datagrams to the caller queue until the socket is closed.
+func (l *loop) readCallers(c *net.UDPConn) error { return l.readInto(c, fromCaller, l.enqueueCaller) }
 
-// addCaller hands over a datagram of a caller, in place of the oldest if the ring is full.
-func (l *loop) addCaller(b *buffer) {
+// enqueueCaller queues a caller's datagram. If the queue is full, it drops the oldest one.
+func (l *loop) enqueueCaller(b *buffer) {
 	for {
 		select {
-		case l.callers <- b:
+		case l.callerQueue <- b:
 			return
 		default:
 		}
 		select {
-		case old := <-l.callers:
+		case old := <-l.callerQueue:
 			l.drop(old)
 		default:
 		}
 	}
 }
 
-func (l *loop) readTo(c *net.UDPConn, at source, add func(*buffer)) error {
+// readInto calls add for each datagram of the socket until the socket is closed.
+func (l *loop) readInto(c *net.UDPConn, src source, add func(*buffer)) error {
 	for {
 		b := l.buffer()
 		n, from, err := c.ReadFromUDPAddrPort(b.b[datagram.HeaderLen:])
@@ -227,31 +239,33 @@
 			return nil
 		}
 		if err != nil {
-			l.broken.Add(1) // such as a refused datagram that was sent before
+			l.broken.Add(1) // for example because a datagram sent earlier was refused
 			l.release(b)
 			continue
 		}
-		b.n, b.from, b.at, b.came = n, from, at, l.now()
+		b.n, b.from, b.src, b.receivedAt = n, from, src, l.now()
 		add(b)
 	}
 }
 
-// send writes a datagram. What can't be sent is lost as on the way, and counted.
+// send writes a datagram. A failure is counted and otherwise treated like a datagram lost
+// on the network.
 func (l *loop) send(c *net.UDPConn, p []byte, to netip.AddrPort) {
 	if _, err := c.WriteToUDPAddrPort(p, to); err != nil {
 		l.broken.Add(1)
 	}
 }
 
-// socketBuffer rides out a pause of some milliseconds; what waits unread counts
-// as the process's memory.
-const socketBuffer = 1 << 20
+// socketBufferSize is the size of a socket's receive buffer. It absorbs pauses of some
+// milliseconds; unread datagrams count towards the memory of the process.
+const socketBufferSize = 1 << 20
 
+// listenUDP opens a UDP socket on the address.
 func listenUDP(a netip.AddrPort) (*net.UDPConn, error) {
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(a))
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen on %v", a)
 	}
-	c.SetReadBuffer(socketBuffer) // a smaller one than asked for is no fault
+	c.SetReadBuffer(socketBufferSize) // the kernel may grant less, which is acceptable
 	return c, nil
 }
--- a/node/reload.go
+++ b/node/reload.go
@@ -12,46 +12,47 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// settingsEvery is how often the settings file is looked at, as it may change
-// without a signal; a look costs one system call.
-const settingsEvery = 2 * time.Second
+// settingsPollInterval is how often the settings file is checked, because it may change
+// without a signal. A check costs one system call.
+const settingsPollInterval = 2 * time.Second
 
-// watchSettings applies the settings file at SIGHUP and when it has changed.
+// watchSettings applies the settings file on SIGHUP and when the file has changed.
 //
-// Without a handler SIGHUP would end the process, and a zone's reload all its balancers at
-// the same moment.
+// Without a handler, SIGHUP would end the process, and a reload of a whole zone would end
+// all its balancers at once.
 func (b *base) watchSettings(ctx context.Context, apply func(*platform.Settings)) error {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGHUP)
 	defer signal.Stop(c)
-	t := time.NewTicker(settingsEvery)
+	t := time.NewTicker(settingsPollInterval)
 	defer t.Stop()
-	at := modified(b.options.Settings)
+	appliedModTime := modTime(b.options.Settings)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-c:
 		case <-t.C:
-			if m := modified(b.options.Settings); m.Equal(at) {
+			if m := modTime(b.options.Settings); m.Equal(appliedModTime) {
 				continue
 			}
 		}
-		at = modified(b.options.Settings)
+		appliedModTime = modTime(b.options.Settings)
 		b.reload(apply)
 	}
 }
 
-func modified(path string) time.Time {
+// modTime returns the modification time of the file, or the zero time if it cannot be read.
+func modTime(path string) time.Time {
 	i, err := os.Stat(path)
 	if err != nil {
-		return time.Time{} // a file that is being replaced is looked at again
+		return time.Time{} // a file that is being replaced shows as modified at the next check
 	}
 	return i.ModTime()
 }
 
-// reload applies the file if it is valid. What a process can't change while it
-// runs, such as its addresses, stays as it is until the next start.
+// reload applies the settings file if it is valid. Settings that cannot change while the
+// process runs, such as its addresses, take effect at the next start.
 func (b *base) reload(apply func(*platform.Settings)) {
 	s, err := platform.LoadSettings(b.options.Settings, b.role)
 	if err != nil {
--- a/node/view.go
+++ b/node/view.go
@@ -19,31 +19,35 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// View is what a balancer knows from the store, for one that can't read it.
+// View is what a balancer has read from the store. Balancers that cannot read the store
+// themselves fetch it.
 type View struct {
 	Configuration platform.Object   `json:"configuration"`
 	Evacuations   []platform.Object `json:"evacuations"`
-	// EvacuationsAt is the revision that the evacuations are as of.
+	// EvacuationsAt is the store's revision at which the evacuations were read.
 	EvacuationsAt platform.Revision `json:"evacuationsAt"`
 	Processes     []platform.Object `json:"processes"`
 }
 
-// A view is asked for and given under the fleet's key: the caller sends a nonce
-// and its tag, the answer carries the tag of nonce and body. So nobody outside
-// reads or forges one, and an old one can't be played again.
+// Requests for a view and their responses are authenticated under the fleet's key. The
+// request carries a nonce and the nonce's tag, the response a tag of the nonce and the
+// body. Outsiders can therefore neither read nor forge a view, and an old response cannot
+// be replayed.
 const (
 	viewPath    = "/view"
 	headerNonce = "Pomeloway-Nonce"
 	headerTag   = "Pomeloway-Tag"
 	nonceLen    = 16
-	// viewMost is the largest configuration and records of a large fleet.
-	viewMost = 8 << 20
-	// viewTimeout is for a peer that is a region away and busy.
+	// maxViewSize limits the size of a view. It fits the largest configuration and the
+	// records of a large fleet.
+	maxViewSize = 8 << 20
+	// viewTimeout limits a request. It allows for a busy peer in another region.
 	viewTimeout = time.Second
 )
 
-func viewTag(secret []byte, parts ...[]byte) string {
-	h := hmac.New(sha256.New, secret)
+// viewTag returns the hexadecimal HMAC-SHA-256 of the parts, each followed by a zero byte.
+func viewTag(key []byte, parts ...[]byte) string {
+	h := hmac.New(sha256.New, key)
 	for _, p := range parts {
 		h.Write(p)
 		h.Write([]byte{0})
@@ -51,12 +55,12 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// viewHandler serves the view to who has the fleet's key.
-func viewHandler(secret []byte, view func() View) http.Handler {
+// viewHandler serves the view to clients that have the fleet's key.
+func viewHandler(key []byte, view func() View) http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET "+viewPath, func(w http.ResponseWriter, r *http.Request) {
 		n := []byte(r.Header.Get(headerNonce))
-		if len(n) != 2*nonceLen || !hmac.Equal([]byte(r.Header.Get(headerTag)), []byte(viewTag(secret, n))) {
+		if len(n) != 2*nonceLen || !hmac.Equal([]byte(r.Header.Get(headerTag)), []byte(viewTag(key, n))) {
 			http.Error(w, "not of this fleet", http.StatusForbidden)
 			return
 		}
@@ -65,19 +69,19 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		w.Header().Set(headerTag, viewTag(secret, n, b))
+		w.Header().Set(headerTag, viewTag(key, n, b))
 		w.Write(b)
 	})
 	return m
 }
 
-// viewClient closes its connections, as views are asked for seldom.
+// viewClient does not keep connections open, because views are rarely requested.
 var viewClient = &http.Client{Timeout: viewTimeout, Transport: &http.Transport{
 	DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: viewTimeout / 2}).DialContext,
 }}
 
-// fetchView asks the balancer at the address for its view.
-func fetchView(ctx context.Context, secret []byte, a netip.AddrPort) (View, error) {
+// fetchView requests the view of the balancer at the address and verifies its tag.
+func fetchView(ctx context.Context, key []byte, a netip.AddrPort) (View, error) {
 	var v View
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.String()+viewPath, nil)
 	if err != nil {
@@ -85,22 +89,23 @@
 	}
 	n := []byte(hex.EncodeToString(randomBytes(nonceLen)))
 	r.Header.Set(headerNonce, string(n))
-	r.Header.Set(headerTag, viewTag(secret, n))
+	r.Header.Set(headerTag, viewTag(key, n))
 	x, err := viewClient.Do(r)
 	if err != nil {
 		return v, eris.Wrap(err, "view")
 	}
 	defer x.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(x.Body, viewMost))
+	b, err := io.ReadAll(io.LimitReader(x.Body, maxViewSize))
 	if err != nil {
 		return v, eris.Wrap(err, "view")
 	}
-	if x.StatusCode != http.StatusOK || !hmac.Equal([]byte(x.Header.Get(headerTag)), []byte(viewTag(secret, n, b))) {
-		return v, eris.Errorf("view: status %d, or not of this fleet", x.StatusCode)
+	if x.StatusCode != http.StatusOK || !hmac.Equal([]byte(x.Header.Get(headerTag)), []byte(viewTag(key, n, b))) {
+		return v, eris.Errorf("view: status %d, or the tag is not made with this fleet's key", x.StatusCode)
 	}
 	return v, json.NewDecoder(bytes.NewReader(b)).Decode(&v)
 }
 
+// randomBytes returns n cryptographically random bytes.
 func randomBytes(n int) []byte {
 	b := make([]byte, n)
 	rand.Read(b)
