--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -23,9 +23,9 @@
 	return m
 }
 
-// Views travel by any path, late, twice and crossed. Whatever the order, all
-// processes must end with the same view, or balancers would send the datagrams
-// of one opening to different agents for good.
+// Views arrive by any path, late, more than once and out of order. If the result
+// depended on the order, processes would keep different views, and balancers would
+// permanently send the datagrams of one opening to different agents.
 func TestMergeEndsAlikeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var parts []Change
@@ -33,7 +33,7 @@
 			m := member(RoleAgent, byte(rapid.IntRange(1, 3).Draw(t, "host")), 1)
 			m.Incarnation = Incarnation(rapid.IntRange(1, 3).Draw(t, "life"))
 			m.Revision = Revision(rapid.IntRange(0, 3).Draw(t, "revision"))
-			// One life's revision has one content, since its owner alone writes it.
+			// A revision of an incarnation has only one content, since only its owner writes it.
 			m.Phase = []Phase{PhaseReady, PhaseLeaving, PhaseLeft}[int(m.Revision)%3]
 			o := Opinion{Observer: "b", Subject: m.ID, Life: m.Incarnation, Stamp: uint64(rapid.IntRange(1, 5).Draw(t, "stamp"))}
 			o.Doubted = o.Stamp%2 == 0
@@ -73,11 +73,11 @@
 		epoch, revision uint64
 		want            int
 	}{
-		"from the first":       {first.Epoch, first.Revision, 1},
-		"from nothing":         {0, 0, 2},
-		"from another life":    {first.Epoch + 1, first.Revision, 2},
-		"from the future":      {first.Epoch, 99, 2},
-		"from the present one": {first.Epoch, 2, 0},
+		"first revision":   {first.Epoch, first.Revision, 1},
+		"no revision":      {0, 0, 2},
+		"other epoch":      {first.Epoch + 1, first.Revision, 2},
+		"future revision":  {first.Epoch, 99, 2},
+		"present revision": {first.Epoch, 2, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c := s.Since(x.epoch, x.revision, 0); len(c.Members) != x.want {
@@ -87,9 +87,9 @@
 	}
 }
 
-// A slow peer, or a platform that was restored from last night's copy, offers a
-// bundle that was in force before. Taking it would silently undo what operators
-// were told is in force.
+// A slow peer, or a platform restored from last night's backup, delivers a bundle that
+// was in force before. Accepting it would silently revert what operators were told is
+// in force.
 func TestBundleNeverGoesBack(t *testing.T) {
 	key, v, err := bundle.NewOperator()
 	if err != nil {
@@ -112,16 +112,17 @@
 	}{{"first", 2, true, 2}, {"newer", 5, true, 5}, {"older", 4, false, 5}, {"same version, other text", 5, false, 5}, {"first again", 2, false, 5}} {
 		m := s.Merge(Change{Bundle: signed(x.version, x.name)})
 		if m.Bundle != x.taken || s.Accepted().Version != x.want {
-			t.Errorf("%s: taken %t (%v), in force %d", x.name, m.Bundle, m.Err, s.Accepted().Version)
+			t.Errorf("%s: accepted %t (%v), in force %d", x.name, m.Bundle, m.Err, s.Accepted().Version)
 		}
 	}
 	if m := s.Merge(Change{Bundle: &bundle.Signed{Text: "services: []"}}); m.Bundle || m.Err == nil {
-		t.Error("an unsigned bundle was taken")
+		t.Error("an unsigned bundle was accepted")
 	}
 }
 
-// One balancer loses its link and hears nobody. If its word were enough, every
-// agent would be taken for dead and openings would crowd onto the few others.
+// A balancer that loses its link receives no heartbeats and doubts every agent. If the
+// doubt of one balancer were enough at once, all these agents would be considered failed,
+// and new flows would overload the few others.
 func TestVerdictWantsTwoObserversOrALastingDoubt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewState(nil)
@@ -142,12 +143,12 @@
 		say("b2", true, 1)
 		check("two doubt", true)
 		say("b2", false, 1)
-		check("one takes it back", false)
+		check("one withdraws its doubt", false)
 		time.Sleep(loneDoubt + time.Second)
 		check("the other's doubt lasts", true)
 		m.Incarnation = 2
 		s.Merge(Change{Members: []Member{m}})
-		check("the next life", false)
+		check("the next incarnation", false)
 	})
 }
 
@@ -159,12 +160,12 @@
 		s.Merge(Change{Members: []Member{m}, Opinions: []Opinion{{Observer: "b", Subject: m.ID, Life: 1, Stamp: 1}}})
 		s.Collect()
 		if ms, _ := s.Snapshot(); len(ms) != 1 {
-			t.Fatal("a late copy of this life would be taken for a new member")
+			t.Fatal("the member was removed at once; a late copy of its record would be added as a new member")
 		}
 		time.Sleep(tombstoneLife + time.Second)
 		s.Collect()
 		if ms, os := s.Snapshot(); len(ms)+len(os) != 0 {
-			t.Errorf("kept for good: %v %v", ms, os)
+			t.Errorf("not removed after tombstoneTTL: %v %v", ms, os)
 		}
 	})
 }
@@ -185,7 +186,7 @@
 		}
 	}
 	if moved != 0 {
-		t.Errorf("%d keys moved between members that stayed", moved)
+		t.Errorf("%d keys moved between members that were not removed", moved)
 	}
 	for id, n := range load {
 		if n < keys/10*8/10 || n > keys/10*12/10 {
@@ -206,9 +207,9 @@
 	})
 }
 
-// Balancers die one after another, and their objects stay in the platform for
-// minutes. An agent whose three observers were all dead got no heartbeats, sent
-// its feeds' lines through dead balancers, and teachers' screens went empty.
+// Balancers fail one after another, and their objects stay in the platform for minutes.
+// An agent whose three observers had all failed received no heartbeats, sent the lines of
+// its feeds through failed balancers, and the lines did not reach the callers.
 func TestDeadBalancersAreNoObservers(t *testing.T) {
 	var ms []Member
 	doubts := map[MemberID]bool{}
@@ -220,15 +221,15 @@
 	for i := range 50 {
 		for _, o := range Observers(member(RoleAgent, byte(i+1), 1).ID, ms, doubts, 1) {
 			if doubts[o.ID] {
-				t.Fatalf("agent %d is observed by a dead balancer", i)
+				t.Fatalf("agent %d has an observer that failed", i)
 			}
 		}
 	}
 }
 
-// An observer doubted a member and then died itself, so it never takes the doubt
-// back. Its word must lose its weight, or a live member would be passed over
-// until an operator looked.
+// An observer that doubts a member and then fails itself never withdraws its doubt. If
+// the doubt did not expire, a healthy member would stay a last choice until an operator
+// intervened.
 func TestDoubtOfADeadObserverFades(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewState(nil)
@@ -236,11 +237,11 @@
 		s.Merge(Change{Members: []Member{m}, Opinions: []Opinion{{Observer: "b1", Subject: m.ID, Life: 1, Doubted: true, Stamp: 1}}})
 		time.Sleep(loneDoubt + time.Second)
 		if !s.Doubted()[m.ID] {
-			t.Error("a lasting doubt does not count")
+			t.Error("a lasting doubt of one observer does not count")
 		}
 		time.Sleep(doubtLife)
 		if s.Doubted()[m.ID] {
-			t.Error("the doubt of a dead observer still counts")
+			t.Error("the doubt of a failed observer still counts after doubtTTL")
 		}
 	})
 }
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -1,6 +1,7 @@
-// Package fleet is what a process knows of the others: members, opinions on
-// who is alive, and the bundle in force. Merging is commutative, associative
-// and idempotent, so views may travel by any path, late, twice or crossed.
+// Package fleet holds a process's view of the fleet: the members, the opinions on
+// which of them are alive, and the bundle in force. Merging views is commutative,
+// associative and idempotent, so views may arrive by any path, late, more than once
+// or out of order.
 package fleet
 
 import (
@@ -13,19 +14,22 @@
 	"pomeloway.example/pomeloway/bundle"
 )
 
-// MemberID names a process by its role and link address; it outlives restarts.
+// MemberID identifies a process by its role and link address. It stays the same
+// across restarts.
 type MemberID string
 
-// Incarnation orders the lives of one member: its start in Unix microseconds.
+// Incarnation identifies one run of a member between two restarts, which is also called
+// a life of the member. It is the start time in Unix microseconds, so later
+// incarnations are higher.
 type Incarnation uint64
 
 // NewIncarnation returns the incarnation of a process that starts now.
 func NewIncarnation() Incarnation { return Incarnation(time.Now().UnixMicro()) }
 
-// Revision orders the records of one life of a member.
+// Revision orders the records of one incarnation of a member.
 type Revision uint64
 
-// Role is what a process does in the fleet.
+// Role is the role of a process in the fleet.
 type Role string
 
 // Roles of members.
@@ -34,7 +38,7 @@
 	RoleAgent    Role = "agent"
 )
 
-// Phase is where a member stands in its life.
+// Phase is the phase of a member in its lifecycle, from ready through leaving to left.
 type Phase string
 
 // Phases of members.
@@ -44,7 +48,7 @@
 	PhaseLeft    Phase = "left"
 )
 
-// Member is the record that a process announces of itself.
+// Member is the record that a process publishes about itself.
 type Member struct {
 	ID          MemberID         `json:"id"`
 	Role        Role             `json:"role"`
@@ -63,7 +67,7 @@
 	return MemberID(string(r) + "-" + a.String())
 }
 
-// UnmarshalJSON checks a member while it is decoded.
+// UnmarshalJSON decodes a member and checks it.
 func (m *Member) UnmarshalJSON(b []byte) error {
 	type plain Member
 	if err := json.Unmarshal(b, (*plain)(m)); err != nil {
@@ -72,7 +76,7 @@
 	return m.Check()
 }
 
-// Check returns why the member's record is not valid.
+// Check returns an error if the member's record is not valid.
 func (m *Member) Check() error {
 	switch {
 	case m.Role != RoleBalancer && m.Role != RoleAgent:
@@ -80,11 +84,11 @@
 	case m.Phase != PhaseReady && m.Phase != PhaseLeaving && m.Phase != PhaseLeft:
 		return eris.Errorf("member %q: phase %q is unknown", m.ID, m.Phase)
 	case !m.Link.IsValid() || !m.Link.Addr().Is4() || m.Link.Port() == 0:
-		return eris.Errorf("member %q: link %v is no IPv4 address and port", m.ID, m.Link)
+		return eris.Errorf("member %q: link %v is not an IPv4 address and port", m.ID, m.Link)
 	case !m.Peer.IsValid() || m.Peer.Port() == 0:
-		return eris.Errorf("member %q: peer %v is no address and port", m.ID, m.Peer)
+		return eris.Errorf("member %q: peer %v is not an address and port", m.ID, m.Peer)
 	case m.ID != NewID(m.Role, m.Link):
-		return eris.Errorf("member %q: id does not fit its role and link", m.ID)
+		return eris.Errorf("member %q: id does not match its role and link", m.ID)
 	case m.Zone == 0:
 		return eris.Errorf("member %q: zone is missing", m.ID)
 	case m.Role == RoleAgent && m.Service == 0:
@@ -95,8 +99,9 @@
 
 // Newer reports whether m replaces o.
 //
-// A process that was paused and writes late, or a process at an address whose
-// next life has begun, shows as a lower incarnation or revision, and loses.
+// A process that was paused may write an old record late, and a record of an earlier
+// process may arrive after the next one has started at the same address. Both have a
+// lower incarnation or revision, so they don't replace the newer record.
 func (m *Member) Newer(o *Member) bool {
 	if m.Incarnation != o.Incarnation {
 		return m.Incarnation > o.Incarnation
@@ -104,7 +109,8 @@
 	return m.Revision > o.Revision
 }
 
-// Opinion is what one balancer holds of one agent's life.
+// Opinion is one balancer's judgement of whether an incarnation of one agent is alive.
+// Doubted means that the observer considers the subject failed.
 type Opinion struct {
 	Observer MemberID    `json:"observer"`
 	Subject  MemberID    `json:"subject"`
--- a/fleet/rendezvous.go
+++ b/fleet/rendezvous.go
@@ -1,9 +1,9 @@
 package fleet
 
-// Rendezvous hashing (Thaler and Ravishankar, 1998): each key ranks all members
-// by a hash of the pair, so a member that comes or goes moves only the keys
-// that rank it first. Ranking costs one hash a member; the lists here are those
-// of one service or one zone, a few dozen at most. Given up: weights, since all
+// Rendezvous hashing (Thaler and Ravishankar, 1998): each key ranks all members by a
+// hash of key and member, so adding or removing a member moves only the keys that rank
+// it first. Ranking costs one hash per member. The lists here contain the members of
+// one service or one zone, a few dozen at most. Weights are not supported, because all
 // upstreams of a service have the same limits.
 
 import (
@@ -15,17 +15,17 @@
 	"pomeloway.example/pomeloway/bundle"
 )
 
-// Fixed keys: every process must rank alike, and nothing here is secret.
+// The keys are fixed because every process must compute the same ranking. They are not secret.
 const (
 	rankKey0 = 0x706f6d656c6f7761
 	rankKey1 = 0x792072616e6b2031
 )
 
-// HashOf returns the fixed hash of a text or identifier.
+// HashOf returns the hash of a text or identifier, which is the same in every process.
 func HashOf(b []byte) uint64 { return siphash.Hash(rankKey0, rankKey1, b) }
 
-// Mix combines two hashes into one that is uniform in both (the finalizer of
-// SplitMix64 by Steele, Lea and Flood).
+// Mix combines two hashes into one that is uniform in both. It uses the finalizer of
+// SplitMix64 by Steele, Lea and Flood.
 func Mix(a, b uint64) uint64 {
 	x := a ^ b
 	x ^= x >> 30
@@ -35,7 +35,7 @@
 	return x ^ x>>31
 }
 
-// Rank returns the n members that the key ranks first.
+// Rank returns the first n members in the ranking of the key, or all if there are fewer.
 func Rank(key uint64, ms []Member, n int) []Member {
 	type ranked struct {
 		score uint64
@@ -56,16 +56,16 @@
 	return out
 }
 
-// observers is how many balancers watch over one agent.
+// observersPerAgent is the number of balancers that monitor one agent.
 const observers = 3
 
-// Observers returns the balancers that watch over the member: of its own
-// availability zone first, so that a zone that loses the others still has them.
+// Observers returns the balancers that monitor the member. Balancers of its own
+// availability zone come first, so that the member is still monitored when its zone is
+// cut off from the others.
 //
-// A balancer that died stays a member until its object is removed. Were it
-// chosen still, an agent could end with dead observers only; it shows as an
-// agent that nobody sends heartbeats to, which then answers callers through the
-// dead. So the doubted are passed over.
+// Doubted balancers are skipped. A balancer that failed stays a member until its object
+// is removed, so an agent could otherwise have only failed observers. Such an agent
+// receives no heartbeats and sends its responses to callers through failed balancers.
 func Observers(subject MemberID, ms []Member, doubts map[MemberID]bool, zone bundle.ZoneID) []Member {
 	var own, other []Member
 	for _, m := range ms {
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -10,22 +10,22 @@
 	"pomeloway.example/pomeloway/bundle"
 )
 
-// Bounds of a State: what is beyond them is refused and counted, so that a
-// faulty peer can't make the process outgrow its memory.
+// Limits of a State. Entries beyond them are refused and counted, so that a faulty peer
+// can't exhaust the memory of the process.
 const (
 	MaxMembers  = 20_000
 	MaxOpinions = 60_000
-	// tombstoneLife is how long the record of a member that left is kept, so
-	// that a late copy of its last life isn't taken for a new member.
+	// tombstoneTTL is how long the record of a member that left is kept, so that a late
+	// copy of an earlier record isn't added as a new member.
 	tombstoneLife = 10 * time.Minute
-	// recentBundles is how many bundles before the one in force are kept, for
+	// maxRecentBundles is how many bundles before the one in force are kept, for
 	// followers that have one of them.
 	recentBundles = 3
 )
 
-// Change is a part of a State that has changed since a revision.
+// Change is the part of a State that has changed since a revision.
 type Change struct {
-	// Epoch names the life of the State that revisions count in.
+	// Epoch identifies the State whose revisions these are. A restart begins a new epoch.
 	Epoch    uint64         `json:"epoch"`
 	Revision uint64         `json:"revision"`
 	Bundle   *bundle.Signed `json:"bundle,omitempty"`
@@ -33,45 +33,46 @@
 	Opinions []Opinion      `json:"opinions,omitempty"`
 }
 
-// Merged says what a merge changed and refused.
+// MergeResult reports what a merge changed and refused.
 type Merged struct {
-	// Joined and Changed are the members that are new or have a new record.
+	// Joined are the new members. Changed are the known members with a newer record.
 	Joined, Changed   []Member
 	Opinions, Refused int
 	Bundle            bool
-	// Err tells why a bundle was refused.
+	// Err is the reason why a bundle was refused.
 	Err error
 }
 
 // Any reports whether anything changed.
 func (m Merged) Any() bool { return m.Bundle || len(m.Joined)+len(m.Changed)+m.Opinions > 0 }
 
+// entry is a member or an opinion with the time and revision of its changes.
 type held[T any] struct {
 	v        T
 	revision uint64
-	// since is when the present content came about, heard when its owner last
-	// said it.
+	// changedAt is when the content last changed. refreshedAt is when the opinion was last
+	// received, changed or not; it is not used for members.
 	since, heard time.Time
 }
 
-// State is a process's view of the fleet. Any goroutine may use it.
+// State is a process's view of the fleet. It is safe for concurrent use.
 type State struct {
 	verifier *bundle.Verifier
 	epoch    uint64
 
 	mu       sync.Mutex
 	revision uint64
-	// generation counts changes of any kind.
+	// generation increases with every merge that changes members, opinions or the bundle.
 	generation uint64
 	members    map[MemberID]*held[Member]
 	opinions   map[opinionKey]*held[Opinion]
 	accepted   *bundle.Accepted
-	// recent are the texts of the bundles in force before, the latest first.
+	// recent holds the texts of bundles that were in force before, the latest first.
 	recent  []string
 	changed chan struct{}
 }
 
-// NewState returns an empty State that takes bundles of the verifier's keys.
+// NewState returns an empty State that accepts bundles signed with the verifier's keys.
 func NewState(v *bundle.Verifier) *State {
 	return &State{
 		verifier: v,
@@ -89,30 +90,30 @@
 	return s.changed
 }
 
-// Immediately returns a channel that is closed already, in place of the first
-// change for those who begin to follow.
+// ClosedChannel returns a closed channel. A loop that waits for changes uses it in the
+// first round, in order to read the present state at once.
 func Immediately() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }
 
-// Accepted returns the bundle in force, or nil before the first.
+// Accepted returns the bundle in force, or nil if none has been accepted yet.
 func (s *State) Accepted() *bundle.Accepted {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted
 }
 
-// Recent returns the texts of some bundles before the one in force, the latest
-// first.
+// RecentBundles returns the texts of the last bundles before the one in force, the
+// latest first.
 func (s *State) Recent() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.recent
 }
 
-// Snapshot returns all members and opinions.
+// Snapshot returns all members, sorted by ID, and all opinions.
 func (s *State) Snapshot() ([]Member, []Opinion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,8 +150,9 @@
 	return h.v, true
 }
 
-// Since returns what has changed after the revision of the epoch. Another
-// epoch's revision, or one from the future, gets everything.
+// Since returns what has changed after the revision. It returns everything if the epoch
+// is not that of s or the revision is higher than the present one. The bundle is
+// included if its version is higher than have.
 func (s *State) Since(epoch, revision uint64, have bundle.Version) Change {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,7 +177,7 @@
 	return c
 }
 
-// Merge takes in what another process knows.
+// Merge merges another process's view into s.
 func (s *State) Merge(c Change) Merged {
 	var m Merged
 	if c.Bundle != nil {
@@ -195,14 +197,14 @@
 	return m
 }
 
-// Generation returns a number that every change raises.
+// Generation returns a number that increases with every merge that changes s.
 func (s *State) Generation() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.generation
 }
 
-// wake tells the waiting that something changed; s.mu is held.
+// notify wakes the goroutines that wait for a change. The caller must hold s.mu.
 func (s *State) wake() {
 	s.generation++
 	close(s.changed)
@@ -247,11 +249,11 @@
 	m.Opinions++
 }
 
-// offer verifies a bundle and takes it if it is newer.
+// mergeBundle verifies a bundle and accepts it if its version is higher.
 //
-// A lower version from a slow peer, a platform restored from an old copy, or a
-// replay would take back what operators were told is in force; it shows as a
-// version not above the held one, and is refused for the life of the process.
+// A slow peer, a platform restored from a backup or a replay can deliver an older
+// bundle. Accepting it would revert what operators were told is in force, so a version
+// that is not higher than the accepted one is refused for as long as the process runs.
 func (s *State) offer(b bundle.Signed) (bool, error) {
 	if cur := s.Accepted(); cur != nil && cur.Signed == b {
 		return false, nil
@@ -266,7 +268,7 @@
 		if a.Digest == s.accepted.Digest {
 			return false, nil
 		}
-		return false, eris.Errorf("bundle version %d is not above version %d in force", a.Version, s.accepted.Version)
+		return false, eris.Errorf("bundle version %d is not higher than version %d in force", a.Version, s.accepted.Version)
 	}
 	if s.accepted != nil {
 		s.recent = append([]string{s.accepted.Signed.Text}, s.recent[:min(len(s.recent), recentBundles-1)]...)
@@ -276,7 +278,8 @@
 	return true, nil
 }
 
-// Collect forgets members that left long ago and opinions on lives that ended.
+// RemoveExpired removes members that left and opinions on incarnations that ended, once
+// tombstoneTTL has passed since they last changed. It returns how many it removed.
 func (s *State) Collect() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -299,21 +302,22 @@
 }
 
 const (
-	// loneDoubt is how long the doubt of one balancer must last to count alone:
-	// by then a second observer would have spoken if it were still there.
+	// singleDoubtDelay is how long the doubt of a single balancer must last to be
+	// enough. By then a second observer would have reported too, if one were alive.
 	loneDoubt = 10 * time.Second
-	// DoubtEvery is how often an observer says again that it doubts a member;
-	// doubtLife is how long its word counts. The doubt of an observer that died
-	// itself would stand for good otherwise.
+	// DoubtInterval is how often an observer repeats that it doubts a member. doubtTTL
+	// is how long a doubt counts after the last repetition. Without it, the doubt of an
+	// observer that failed itself would count forever.
 	DoubtEvery = 30 * time.Second
 	doubtLife  = 3 * DoubtEvery
 )
 
-// Doubted returns the members that are believed dead in their present life.
+// Doubted returns the members whose current incarnation is considered failed.
 //
-// One observer may be cut off itself and doubt everybody; so a verdict wants
-// two, or one that lasts. A wrong verdict costs no flow: it only moves a member
-// behind the others when a new flow is opened.
+// An observer that is cut off itself doubts every member. So a member counts as doubted
+// only if two observers doubt it, or one has doubted it for longer than
+// singleDoubtDelay. A wrong result breaks no flow: it only makes the member a later
+// choice when a new flow is opened.
 func (s *State) Doubted() map[MemberID]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
