--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -128,7 +128,7 @@
 		s := NewState(nil)
 		m := member(RoleAgent, 1, 1)
 		s.Merge(Change{Members: []Member{m}})
-		say := func(by MemberID, doubted bool, life Incarnation) {
+		report := func(by MemberID, doubted bool, life Incarnation) {
 			s.Merge(Change{Opinions: []Opinion{{Observer: by, Subject: m.ID, Life: life, Doubted: doubted, Stamp: uint64(time.Now().UnixMicro())}}})
 			time.Sleep(time.Millisecond)
 		}
@@ -138,13 +138,13 @@
 				t.Errorf("%s: doubted %t", what, !want)
 			}
 		}
-		say("b1", true, 1)
+		report("b1", true, 1)
 		check("one doubts", false)
-		say("b2", true, 1)
+		report("b2", true, 1)
 		check("two doubt", true)
-		say("b2", false, 1)
+		report("b2", false, 1)
 		check("one withdraws its doubt", false)
-		time.Sleep(loneDoubt + time.Second)
+		time.Sleep(singleDoubtDelay + time.Second)
 		check("the other's doubt lasts", true)
 		m.Incarnation = 2
 		s.Merge(Change{Members: []Member{m}})
@@ -162,7 +162,7 @@
 		if ms, _ := s.Snapshot(); len(ms) != 1 {
 			t.Fatal("the member was removed at once; a late copy of its record would be added as a new member")
 		}
-		time.Sleep(tombstoneLife + time.Second)
+		time.Sleep(tombstoneTTL + time.Second)
 		s.Collect()
 		if ms, os := s.Snapshot(); len(ms)+len(os) != 0 {
 			t.Errorf("not removed after tombstoneTTL: %v %v", ms, os)
@@ -235,11 +235,11 @@
 		s := NewState(nil)
 		m := member(RoleAgent, 1, 1)
 		s.Merge(Change{Members: []Member{m}, Opinions: []Opinion{{Observer: "b1", Subject: m.ID, Life: 1, Doubted: true, Stamp: 1}}})
-		time.Sleep(loneDoubt + time.Second)
+		time.Sleep(singleDoubtDelay + time.Second)
 		if !s.Doubted()[m.ID] {
 			t.Error("a lasting doubt of one observer does not count")
 		}
-		time.Sleep(doubtLife)
+		time.Sleep(doubtTTL)
 		if s.Doubted()[m.ID] {
 			t.Error("the doubt of a failed observer still counts after doubtTTL")
 		}
--- a/fleet/rendezvous.go
+++ b/fleet/rendezvous.go
@@ -57,7 +57,7 @@
 }
 
 // observersPerAgent is the number of balancers that monitor one agent.
-const observers = 3
+const observersPerAgent = 3
 
 // Observers returns the balancers that monitor the member. Balancers of its own
 // availability zone come first, so that the member is still monitored when its zone is
@@ -79,9 +79,9 @@
 		}
 	}
 	k := HashOf([]byte(subject))
-	out := Rank(k, own, observers)
-	if len(out) < observers {
-		out = append(out, Rank(k, other, observers-len(out))...)
+	out := Rank(k, own, observersPerAgent)
+	if len(out) < observersPerAgent {
+		out = append(out, Rank(k, other, observersPerAgent-len(out))...)
 	}
 	return out
 }
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -17,10 +17,10 @@
 	MaxOpinions = 60_000
 	// tombstoneTTL is how long the record of a member that left is kept, so that a late
 	// copy of an earlier record isn't added as a new member.
-	tombstoneLife = 10 * time.Minute
+	tombstoneTTL = 10 * time.Minute
 	// maxRecentBundles is how many bundles before the one in force are kept, for
 	// followers that have one of them.
-	recentBundles = 3
+	maxRecentBundles = 3
 )
 
 // Change is the part of a State that has changed since a revision.
@@ -47,12 +47,12 @@
 func (m Merged) Any() bool { return m.Bundle || len(m.Joined)+len(m.Changed)+m.Opinions > 0 }
 
 // entry is a member or an opinion with the time and revision of its changes.
-type held[T any] struct {
+type entry[T any] struct {
 	v        T
 	revision uint64
 	// changedAt is when the content last changed. refreshedAt is when the opinion was last
 	// received, changed or not; it is not used for members.
-	since, heard time.Time
+	changedAt, refreshedAt time.Time
 }
 
 // State is a process's view of the fleet. It is safe for concurrent use.
@@ -64,8 +64,8 @@
 	revision uint64
 	// generation increases with every merge that changes members, opinions or the bundle.
 	generation uint64
-	members    map[MemberID]*held[Member]
-	opinions   map[opinionKey]*held[Opinion]
+	members    map[MemberID]*entry[Member]
+	opinions   map[opinionKey]*entry[Opinion]
 	accepted   *bundle.Accepted
 	// recent holds the texts of bundles that were in force before, the latest first.
 	recent  []string
@@ -77,8 +77,8 @@
 	return &State{
 		verifier: v,
 		epoch:    uint64(NewIncarnation()),
-		members:  map[MemberID]*held[Member]{},
-		opinions: map[opinionKey]*held[Opinion]{},
+		members:  map[MemberID]*entry[Member]{},
+		opinions: map[opinionKey]*entry[Opinion]{},
 		changed:  make(chan struct{}),
 	}
 }
@@ -181,7 +181,7 @@
 func (s *State) Merge(c Change) Merged {
 	var m Merged
 	if c.Bundle != nil {
-		m.Bundle, m.Err = s.offer(*c.Bundle)
+		m.Bundle, m.Err = s.mergeBundle(*c.Bundle)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,7 +192,7 @@
 		s.mergeOpinion(&c.Opinions[n], &m)
 	}
 	if len(m.Joined)+len(m.Changed)+m.Opinions > 0 {
-		s.wake()
+		s.notify()
 	}
 	return m
 }
@@ -205,7 +205,7 @@
 }
 
 // notify wakes the goroutines that wait for a change. The caller must hold s.mu.
-func (s *State) wake() {
+func (s *State) notify() {
 	s.generation++
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -221,7 +221,7 @@
 		return
 	}
 	s.revision++
-	s.members[v.ID] = &held[Member]{v: *v, revision: s.revision, since: time.Now()}
+	s.members[v.ID] = &entry[Member]{v: *v, revision: s.revision, changedAt: time.Now()}
 	if ok {
 		m.Changed = append(m.Changed, *v)
 	} else {
@@ -241,9 +241,9 @@
 	}
 	s.revision++
 	now := time.Now()
-	n := &held[Opinion]{v: *v, revision: s.revision, since: now, heard: now}
+	n := &entry[Opinion]{v: *v, revision: s.revision, changedAt: now, refreshedAt: now}
 	if ok && h.v.Doubted == v.Doubted && h.v.Life == v.Life {
-		n.since = h.since
+		n.changedAt = h.changedAt
 	}
 	s.opinions[k] = n
 	m.Opinions++
@@ -254,7 +254,7 @@
 // A slow peer, a platform restored from a backup or a replay can deliver an older
 // bundle. Accepting it would revert what operators were told is in force, so a version
 // that is not higher than the accepted one is refused for as long as the process runs.
-func (s *State) offer(b bundle.Signed) (bool, error) {
+func (s *State) mergeBundle(b bundle.Signed) (bool, error) {
 	if cur := s.Accepted(); cur != nil && cur.Signed == b {
 		return false, nil
 	}
@@ -271,10 +271,10 @@
 		return false, eris.Errorf("bundle version %d is not higher than version %d in force", a.Version, s.accepted.Version)
 	}
 	if s.accepted != nil {
-		s.recent = append([]string{s.accepted.Signed.Text}, s.recent[:min(len(s.recent), recentBundles-1)]...)
+		s.recent = append([]string{s.accepted.Signed.Text}, s.recent[:min(len(s.recent), maxRecentBundles-1)]...)
 	}
 	s.accepted = a
-	s.wake()
+	s.notify()
 	return true, nil
 }
 
@@ -285,7 +285,7 @@
 	defer s.mu.Unlock()
 	n := 0
 	for id, h := range s.members {
-		if h.v.Phase == PhaseLeft && time.Since(h.since) > tombstoneLife {
+		if h.v.Phase == PhaseLeft && time.Since(h.changedAt) > tombstoneTTL {
 			delete(s.members, id)
 			n++
 		}
@@ -293,7 +293,7 @@
 	for k, h := range s.opinions {
 		m, ok := s.members[k.subject]
 		ended := !ok || m.v.Incarnation > h.v.Life || m.v.Phase == PhaseLeft
-		if ended && time.Since(h.since) > tombstoneLife {
+		if ended && time.Since(h.changedAt) > tombstoneTTL {
 			delete(s.opinions, k)
 			n++
 		}
@@ -304,12 +304,12 @@
 const (
 	// singleDoubtDelay is how long the doubt of a single balancer must last to be
 	// enough. By then a second observer would have reported too, if one were alive.
-	loneDoubt = 10 * time.Second
+	singleDoubtDelay = 10 * time.Second
 	// DoubtInterval is how often an observer repeats that it doubts a member. doubtTTL
 	// is how long a doubt counts after the last repetition. Without it, the doubt of an
 	// observer that failed itself would count forever.
 	DoubtEvery = 30 * time.Second
-	doubtLife  = 3 * DoubtEvery
+	doubtTTL   = 3 * DoubtEvery
 )
 
 // Doubted returns the members whose current incarnation is considered failed.
@@ -324,11 +324,11 @@
 	count := map[MemberID]int{}
 	for k, h := range s.opinions {
 		m, ok := s.members[k.subject]
-		if !ok || !h.v.Doubted || h.v.Life != m.v.Incarnation || time.Since(h.heard) > doubtLife {
+		if !ok || !h.v.Doubted || h.v.Life != m.v.Incarnation || time.Since(h.refreshedAt) > doubtTTL {
 			continue
 		}
 		count[k.subject]++
-		if time.Since(h.since) > loneDoubt {
+		if time.Since(h.changedAt) > singleDoubtDelay {
 			count[k.subject]++
 		}
 	}
