--- a/quiclb/packet.go
+++ b/quiclb/packet.go
@@ -1,7 +1,7 @@
 package quiclb
 
-// Header fields that RFC 8999 fixes for every version of QUIC, and the packet
-// types of RFC 9000 that an opening consists of.
+// Offsets, masks and limits of the header fields that RFC 8999 defines for every version
+// of QUIC, and the RFC 9000 packet types by which a caller opens a flow.
 const (
 	longForm     = 0x80
 	typeMask     = 0x30
@@ -14,16 +14,16 @@
 	minOpeningID = 8
 )
 
-// Class says what a balancer can know of a datagram from its first bytes.
+// Class is the class of a datagram, as a balancer determines it from the first bytes.
 type Class uint8
 
 // Classes of datagrams.
 const (
-	// ClassInvalid is no QUIC datagram that this fleet could have been sent.
+	// ClassInvalid is not a valid QUIC datagram for this fleet.
 	ClassInvalid Class = iota
-	// ClassOpening may open a flow: an Initial or 0-RTT packet.
+	// ClassOpening is an Initial or 0-RTT packet, which may open a flow.
 	ClassOpening
-	// ClassEstablished belongs to a flow, if its ID is a valid token.
+	// ClassEstablished belongs to an existing flow if its connection ID is a valid token.
 	ClassEstablished
 )
 
@@ -52,6 +52,6 @@
 	return ClassEstablished, id
 }
 
-// IsShort reports whether the datagram has the short form, which only packets of
-// flows past their handshake have.
+// IsShort reports whether the datagram has a short header. Only packets of flows whose
+// handshake is complete have one.
 func IsShort(p []byte) bool { return len(p) > 0 && p[0]&longForm == 0 }
--- a/quiclb/quiclb_test.go
+++ b/quiclb/quiclb_test.go
@@ -24,15 +24,15 @@
 		s := k.Seal(route(i), uint32(i))
 		got, ok := o.Open(Keys{k}, s[:])
 		if !ok || got != route(i) {
-			t.Fatalf("route %+v came back as %+v, %t", route(i), got, ok)
+			t.Fatalf("route %+v was decoded as %+v, valid %t", route(i), got, ok)
 		}
 	}
 }
 
-// Operators rotate the fleet key: new tokens are made under the new key while
-// old flows still carry tokens of the old one. Both are valid until the old key
-// leaves the bundle; then the old flows' tokens are not, so that a key that
-// leaked is worth nothing any more.
+// While operators rotate the fleet key, new tokens use the new key and existing flows
+// still carry tokens of the old one. Both must be valid until the old key is removed from
+// the bundle. After that, tokens of the old key must be refused, so that a leaked key
+// becomes useless.
 func TestTwoKeysAreValidAtOnce(t *testing.T) {
 	old, next := NewKey(keyring.NewSecret(1)), NewKey(keyring.NewSecret(2))
 	a, b := old.Seal(route(1), 1), next.Seal(route(2), 2)
@@ -52,8 +52,8 @@
 	}
 }
 
-// Somebody sends datagrams with made-up, flipped and foreign connection IDs to
-// the letter feed's address, hoping that one is read as a route to scan intake.
+// An attacker sends datagrams with random, modified and foreign connection IDs to the
+// address of one service, so that one of them is decoded as a route to another service.
 func TestAMillionForgedTokensAreNotValid(t *testing.T) {
 	k := NewKey(keyring.NewSecret(1))
 	foreign := NewKey(keyring.NewSecret(1))
@@ -63,7 +63,7 @@
 	for i := range 1_000_000 {
 		s := k.Seal(route(i), uint32(i))
 		switch i % 3 {
-		case 0: // a caller's own random choice, with the right key id
+		case 0: // random bytes chosen by the caller, with the right key id
 			for j := 1; j < Size; j++ {
 				s[j] = byte(r.Uint32())
 			}
@@ -77,7 +77,7 @@
 		}
 	}
 	if valid != 0 {
-		t.Errorf("%d of a million forged tokens lead to a service", valid)
+		t.Errorf("%d of a million forged tokens were decoded as a route to the service", valid)
 	}
 }
 
@@ -86,7 +86,7 @@
 	s := k.Seal(route(1), 1)
 	var o Opener
 	if n := testing.AllocsPerRun(1000, func() { o.Open(Keys{k}[:1:1], s[:]) }); n > 0 {
-		t.Errorf("%v allocations a token", n)
+		t.Errorf("%v allocations per token", n)
 	}
 }
 
--- a/quiclb/token.go
+++ b/quiclb/token.go
@@ -1,12 +1,13 @@
-// Package quiclb makes and reads the connection IDs by which any balancer finds
-// the agent of an established flow without a table.
+// Package quiclb encodes and decodes the QUIC connection IDs that carry the route of a
+// flow, so that any balancer finds the agent of an established flow without a table.
+// Such a connection ID is called a token.
 //
-// A connection ID has 20 bytes: the key's id, one AES block over the route, and
-// three bytes of a keyed checksum over both. The idea of an encrypted route in
-// the connection ID is that of the IETF draft draft-ietf-quic-load-balancers;
-// the route here holds the agent's address itself, so that a balancer born a
-// second ago needs no list of agents. Reading one costs an AES block and a
-// SipHash. Given up: agents with IPv6 addresses, for which 16 bytes are too few.
+// A token has 20 bytes: the key's id, the route encrypted as one AES block, and three
+// bytes of a keyed checksum over both. The encrypted route in the connection ID follows
+// the IETF draft draft-ietf-quic-load-balancers. Here the route contains the agent's
+// address itself, so a balancer that has just started needs no list of agents. Decoding a
+// token costs one AES block and one SipHash. Agents with IPv6 addresses are not
+// supported, because 16 bytes are too few for them.
 package quiclb
 
 import (
@@ -23,7 +24,7 @@
 	"pomeloway.example/pomeloway/keyring"
 )
 
-// Size is the length of a connection ID in bytes, the longest QUIC allows.
+// Size is the length of a token in bytes. It is the longest connection ID that QUIC allows.
 const Size = 20
 
 const (
@@ -32,16 +33,17 @@
 	checkLen = Size - checkAt
 )
 
-// Incarnation tells the lives of a process at one address apart.
+// Incarnation distinguishes successive processes at the same address.
 type Incarnation uint32
 
-// incarnationMask keeps the 24 bits that a token carries.
+// incarnationMask selects the 24 bits of an incarnation that a token carries. Checksums
+// are reduced to 24 bits by the same mask.
 const incarnationMask = 1<<24 - 1
 
 // Short returns the part of the incarnation that tokens carry.
 func (i Incarnation) Short() Incarnation { return i & incarnationMask }
 
-// Route is what a token says: which agent of which service and zone.
+// Route is the content of a token: the agent of the flow, its service and its zone.
 type Route struct {
 	Service     bundle.ServiceID
 	Zone        bundle.ZoneID
@@ -49,7 +51,7 @@
 	Incarnation Incarnation
 }
 
-// Key makes and reads tokens under one fleet secret.
+// Key encrypts and decrypts tokens under one fleet secret.
 type Key struct {
 	id     bundle.KeyID
 	block  cipher.Block
@@ -69,11 +71,12 @@
 	}
 }
 
+// checksum returns the 24-bit checksum of a token's key id and encrypted route.
 func (k *Key) check(b []byte) uint32 {
 	return uint32(siphash.Hash(k.k0, k.k1, b[:checkAt])) & incarnationMask
 }
 
-// Seal returns a token for the route with the nonce.
+// Seal returns the token of the route. Tokens of one route differ by the nonce.
 func (k *Key) Seal(r Route, nonce uint32) [Size]byte {
 	var p [aes.BlockSize]byte
 	a := r.Agent.Addr().As4()
@@ -91,10 +94,10 @@
 	return t
 }
 
-// Keys are the token keys in force, the current one first.
+// Keys holds the token keys in force, the current one first.
 type Keys []*Key
 
-// NewKeys derives the token keys of a ring.
+// NewKeys derives the token keys of the secrets in a ring.
 func NewKeys(r keyring.Ring) Keys {
 	var ks Keys
 	for _, s := range r {
@@ -103,13 +106,14 @@
 	return ks
 }
 
-// Opener reads tokens without allocating. It is for one goroutine.
+// Opener decodes tokens without allocating. It is not safe for concurrent use.
 type Opener struct {
 	p [aes.BlockSize]byte
 }
 
-// Open returns the route of a token. A connection ID that a caller chose, or
-// one under a retired key, is not valid: both look like random bytes here.
+// Open returns the route of a token and whether the token is valid. A connection ID that
+// a caller chose is not valid, and neither is a token of a retired key. Both look like
+// random bytes.
 func (o *Opener) Open(ks Keys, t []byte) (Route, bool) {
 	if len(t) != Size {
 		return Route{}, false
@@ -128,6 +132,7 @@
 	return Route{}, false
 }
 
+// route decodes the route in the decrypted block.
 func (o *Opener) route() Route {
 	return Route{
 		Service: bundle.ServiceID(binary.BigEndian.Uint16(o.p[6:])),
@@ -139,14 +144,14 @@
 	}
 }
 
-// Generator makes the connection IDs of one agent for quic-go.
+// Generator generates the connection IDs of one agent for quic-go.
 type Generator struct {
 	Route Route
-	// Key returns the key to seal with, the current one at the time.
+	// Key returns the current key at the time of the call. It encrypts the next token.
 	Key func() *Key
 }
 
-// GenerateConnectionID returns a fresh token.
+// GenerateConnectionID returns a token with a random nonce.
 func (g *Generator) GenerateConnectionID() (quic.ConnectionID, error) {
 	var n [4]byte
 	rand.Read(n[:])
@@ -154,5 +159,5 @@
 	return quic.ConnectionIDFromBytes(t[:]), nil
 }
 
-// ConnectionIDLen returns the constant length of the tokens.
+// ConnectionIDLen returns the length of all tokens.
 func (g *Generator) ConnectionIDLen() int { return Size }
