--- a/keyring/keyring.go
+++ b/keyring/keyring.go
@@ -1,5 +1,5 @@
-// Package keyring holds the fleet's secret keys and derives from each the keys
-// of every single use, so that no two protocols share one.
+// Package keyring holds the fleet's secrets. It derives a separate key from a secret for
+// each use, so that no two protocols share a key.
 package keyring
 
 import (
@@ -21,7 +21,7 @@
 // SecretSize is the length of a fleet secret in bytes.
 const SecretSize = 32
 
-// Use names what a derived key is for; it is the context of the derivation.
+// Use is the purpose of a derived key. It is the info parameter of the HKDF derivation.
 type Use string
 
 // Uses of derived keys.
@@ -34,50 +34,51 @@
 	UseView  Use = "pomeloway view v1"
 )
 
-// Secret is one fleet secret. It prints as its fingerprint only.
+// Secret is one fleet secret. It is formatted and logged as its id and fingerprint only.
 type Secret struct {
 	id  bundle.KeyID
 	raw [SecretSize]byte
 }
 
-// NewSecret returns a fresh random secret.
+// NewSecret returns a new random secret.
 func NewSecret(id bundle.KeyID) Secret {
 	s := Secret{id: id}
 	rand.Read(s.raw[:])
 	return s
 }
 
-// ID returns the key's id.
+// ID returns the id of the secret.
 func (s Secret) ID() bundle.KeyID { return s.id }
 
-// Fingerprint returns the public part that the bundle names the key by.
+// Fingerprint returns a hash of the secret that may be public. Bundles identify the secret
+// by it.
 func (s Secret) Fingerprint() string {
 	h := sha256.Sum256(append([]byte("pomeloway fingerprint v1"), s.raw[:]...))
 	return hex.EncodeToString(h[:8])
 }
 
-// String never shows the secret.
+// String returns the id and fingerprint, never the secret itself.
 func (s Secret) String() string { return fmt.Sprintf("key %d %s", s.id, s.Fingerprint()) }
 
-// LogValue never shows the secret.
+// LogValue returns the same text as String, never the secret itself.
 func (s Secret) LogValue() slog.Value { return slog.StringValue(s.String()) }
 
-// Reveal returns the secret's settings form, id:base64. Only `key new` and
-// tests may print it.
+// Reveal returns the secret as it is written in settings, id:base64. Only the command
+// `key new` and tests may print it.
 func (s Secret) Reveal() string {
 	return fmt.Sprintf("%d:%s", s.id, base64.RawURLEncoding.EncodeToString(s.raw[:]))
 }
 
-// Derive returns n bytes for the use.
+// Derive returns a derived key of n bytes for the use.
 func (s Secret) Derive(u Use, n int) []byte {
 	b, err := hkdf.Key(sha256.New, s.raw[:], nil, string(u), n)
 	if err != nil {
-		panic(err) // n is a constant of this program, far below the limit
+		panic(err) // can't happen: n is a constant, far below the limit of HKDF
 	}
 	return b
 }
 
-// ParseSecret reads the form that Reveal writes. Its errors never quote it.
+// ParseSecret parses the text that Reveal returns. Its errors never contain the text.
 func ParseSecret(text string) (Secret, error) {
 	i, b, ok := strings.Cut(strings.TrimSpace(text), ":")
 	if !ok {
@@ -96,10 +97,10 @@
 	return s, nil
 }
 
-// Ring is the secrets that a process was given.
+// Ring is the list of secrets in the settings of a process.
 type Ring []Secret
 
-// Parse reads a list of secrets.
+// Parse parses a list of secrets. An id may occur only once.
 func Parse(texts []string) (Ring, error) {
 	var r Ring
 	for _, t := range texts {
@@ -108,7 +109,7 @@
 			return nil, err
 		}
 		if _, dup := r.Get(s.id); dup {
-			return nil, eris.Errorf("fleet key %d is given twice", s.id)
+			return nil, eris.Errorf("fleet key %d occurs twice", s.id)
 		}
 		r = append(r, s)
 	}
@@ -125,8 +126,10 @@
 	return Secret{}, false
 }
 
-// Select returns the secrets that the bundle names, the current one first.
-// A key whose secret is absent or differs is reported by its id.
+// Select returns the secrets of the bundle's keys, the current one first. A secret matches
+// a key if id and fingerprint are equal. If no secret matches the current key, Select
+// returns only an error. If none matches another key, Select returns the matching secrets
+// and an error with the ids of the other keys.
 func (r Ring) Select(b *bundle.Bundle) (Ring, error) {
 	var out Ring
 	var bad []string
@@ -143,10 +146,10 @@
 		}
 	}
 	if len(out) == 0 || out[0].id != b.CurrentKey {
-		return nil, eris.Errorf("no secret here fits the bundle's current key %d", b.CurrentKey)
+		return nil, eris.Errorf("no secret in the settings matches the bundle's current key %d", b.CurrentKey)
 	}
 	if len(bad) > 0 {
-		return out, eris.Errorf("no secret here fits key %s of the bundle", strings.Join(bad, ", "))
+		return out, eris.Errorf("no secret in the settings matches key %s of the bundle", strings.Join(bad, ", "))
 	}
 	return out, nil
 }
--- a/keyring/keyring_test.go
+++ b/keyring/keyring_test.go
@@ -25,12 +25,12 @@
 		})
 	}
 	if r, err := Parse([]string{s.Reveal()}); err != nil || r[0].Fingerprint() != s.Fingerprint() {
-		t.Errorf("the good one: %v", err)
+		t.Errorf("valid secret: %v", err)
 	}
 }
 
-// Operators rotate keys, and one process was not given the new secret, or was
-// given a mistyped one. It must say so, and must not go on under the wrong one.
+// During a key rotation, a process may have no secret for the new key, or a mistyped one.
+// It must report an error and must not use the wrong secret.
 func TestSelectWantsTheSecretThatTheBundleNames(t *testing.T) {
 	a, b, other := NewSecret(1), NewSecret(2), NewSecret(2)
 	keys := []bundle.Key{{ID: 1, Fingerprint: a.Fingerprint()}, {ID: 2, Fingerprint: b.Fingerprint()}}
@@ -41,9 +41,9 @@
 		whole   bool
 	}{
 		"both":                    {Ring{a, b}, 2, 2, true},
-		"without the old one":     {Ring{b}, 2, 2, false},
-		"without the current one": {Ring{a}, 2, 0, false},
-		"a mistyped current one":  {Ring{a, other}, 2, 0, false},
+		"old secret missing":      {Ring{b}, 2, 2, false},
+		"current secret missing":  {Ring{a}, 2, 0, false},
+		"current secret mistyped": {Ring{a, other}, 2, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, err := x.ring.Select(&bundle.Bundle{Keys: keys, CurrentKey: x.current})
