--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock waits on the runtime's clock, which tests pause and advance.
+// Package clock provides waits that a context can end. They use the clock of package time,
+// which testing/synctest replaces in tests.
 package clock
 
 import (
@@ -6,7 +7,7 @@
 	"time"
 )
 
-// Sleep waits for the duration; it returns false when the context ends first.
+// Sleep waits for the duration d. It returns false if the context ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -1,5 +1,5 @@
-// Package guard names the guards against failures that a trial can switch off,
-// one at a time, to show that the measurement notices the absence of each.
+// Package guard lists the protections against failures that a trial can disable, one at a
+// time, to show that its measurements detect when that protection is missing.
 package guard
 
 // Name is the name of a guard.
@@ -7,35 +7,36 @@
 
 // Guards.
 const (
-	// Journal lets only the first use of an idempotency key run.
+	// Journal runs a request only at the first use of its idempotency key.
 	Journal Name = "journal"
-	// Life refuses idempotency keys of an agent's earlier life.
+	// Life refuses idempotency keys that an agent issued before its last restart.
 	Life Name = "life"
-	// Home lets nobody but a key's home run its request.
+	// Home lets only the agent that issued an idempotency key, the key's home, run the
+	// request.
 	Home Name = "home"
-	// Retry sends again only what surely did not run.
+	// Retry repeats a request only if it certainly did not run.
 	Retry Name = "retry"
-	// Match gives an answer only to the request whose id it carries.
+	// Match accepts a response only for the request whose id it carries.
 	Match Name = "match"
-	// Slots keeps work within the upstream's slots and cold start.
+	// Slots limits the load on an upstream to its slots and its cold-start rate.
 	Slots Name = "slots"
-	// Drain keeps new work from an upstream that leaves.
+	// Drain sends no new work to an upstream that is leaving.
 	Drain Name = "drain"
-	// Outcome keeps "not run" to what is certain.
+	// Outcome reports "not run" for a request only if that is certain.
 	Outcome Name = "outcome"
-	// Zone stops traffic to an availability zone that is out.
+	// Zone stops traffic to an evacuated availability zone.
 	Zone Name = "zone"
-	// Service drops a token on the address of another service.
+	// Service drops datagrams whose token is of another service than their address.
 	Service Name = "service"
-	// Token keeps established flows at their agent by the token's route.
+	// Token keeps an established flow at the agent in its token's route.
 	Token Name = "token"
 )
 
-// Off is the guard that is switched off; the zero value means none.
+// Off is the guard that is switched off. The zero value means that all guards are on.
 type Off struct{ name Name }
 
 // Without returns an Off with the guard switched off.
 func Without(n Name) Off { return Off{n} }
 
-// Has reports whether the guard is switched off.
+// Disabled reports whether the guard is switched off.
 func (o Off) Has(n Name) bool { return o.name != "" && o.name == n }
