--- a/quiclb/packet.go
+++ b/quiclb/packet.go
@@ -3,15 +3,15 @@
 // Offsets, masks and limits of the header fields that RFC 8999 defines for every version
 // of QUIC, and the RFC 9000 packet types by which a caller opens a flow.
 const (
-	longForm     = 0x80
-	typeMask     = 0x30
-	typeInitial  = 0x00
-	typeZeroRTT  = 0x10
-	shortIDAt    = 1
-	longIDLenAt  = 5
-	minLong      = longIDLenAt + 1
-	maxIDLen     = 20
-	minOpeningID = 8
+	longForm        = 0x80
+	typeMask        = 0x30
+	typeInitial     = 0x00
+	typeZeroRTT     = 0x10
+	shortIDOffset   = 1
+	longIDLenOffset = 5
+	longIDOffset    = longIDLenOffset + 1
+	maxIDLen        = 20
+	minOpeningIDLen = 8
 )
 
 // Class is the class of a datagram, as a balancer determines it from the first bytes.
@@ -29,22 +29,22 @@
 
 // Classify returns the class and the destination connection ID of a datagram.
 func Classify(p []byte) (Class, []byte) {
-	if len(p) < minLong {
+	if len(p) < longIDOffset {
 		return ClassInvalid, nil
 	}
 	if p[0]&longForm == 0 {
-		if len(p) < shortIDAt+Size {
+		if len(p) < shortIDOffset+Size {
 			return ClassInvalid, nil
 		}
-		return ClassEstablished, p[shortIDAt : shortIDAt+Size]
+		return ClassEstablished, p[shortIDOffset : shortIDOffset+Size]
 	}
-	n := int(p[longIDLenAt])
-	if n > maxIDLen || len(p) < minLong+n {
+	n := int(p[longIDLenOffset])
+	if n > maxIDLen || len(p) < longIDOffset+n {
 		return ClassInvalid, nil
 	}
-	id := p[minLong : minLong+n]
+	id := p[longIDOffset : longIDOffset+n]
 	if t := p[0] & typeMask; t == typeInitial || t == typeZeroRTT {
-		if n < minOpeningID {
+		if n < minOpeningIDLen {
 			return ClassInvalid, nil
 		}
 		return ClassOpening, id
--- a/quiclb/token.go
+++ b/quiclb/token.go
@@ -28,9 +28,9 @@
 const Size = 20
 
 const (
-	blockAt  = 1
-	checkAt  = blockAt + aes.BlockSize
-	checkLen = Size - checkAt
+	blockOffset    = 1
+	checksumOffset = blockOffset + aes.BlockSize
+	checksumLen    = Size - checksumOffset
 )
 
 // Incarnation distinguishes successive processes at the same address.
@@ -72,8 +72,8 @@
 }
 
 // checksum returns the 24-bit checksum of a token's key id and encrypted route.
-func (k *Key) check(b []byte) uint32 {
-	return uint32(siphash.Hash(k.k0, k.k1, b[:checkAt])) & incarnationMask
+func (k *Key) checksum(b []byte) uint32 {
+	return uint32(siphash.Hash(k.k0, k.k1, b[:checksumOffset])) & incarnationMask
 }
 
 // Seal returns the token of the route. Tokens of one route differ by the nonce.
@@ -88,9 +88,9 @@
 	binary.BigEndian.PutUint32(p[12:], nonce)
 	var t [Size]byte
 	t[0] = byte(k.id)
-	k.block.Encrypt(t[blockAt:checkAt], p[:])
-	c := k.check(t[:])
-	t[checkAt], t[checkAt+1], t[checkAt+2] = byte(c>>16), byte(c>>8), byte(c)
+	k.block.Encrypt(t[blockOffset:checksumOffset], p[:])
+	c := k.checksum(t[:])
+	t[checksumOffset], t[checksumOffset+1], t[checksumOffset+2] = byte(c>>16), byte(c>>8), byte(c)
 	return t
 }
 
@@ -122,11 +122,11 @@
 		if byte(k.id) != t[0] {
 			continue
 		}
-		c := k.check(t)
-		if t[checkAt] != byte(c>>16) || t[checkAt+1] != byte(c>>8) || t[checkAt+2] != byte(c) {
+		c := k.checksum(t)
+		if t[checksumOffset] != byte(c>>16) || t[checksumOffset+1] != byte(c>>8) || t[checksumOffset+2] != byte(c) {
 			return Route{}, false
 		}
-		k.block.Decrypt(o.p[:], t[blockAt:checkAt])
+		k.block.Decrypt(o.p[:], t[blockOffset:checksumOffset])
 		return o.route(), true
 	}
 	return Route{}, false
