--- a/agent/agent.go
+++ b/agent/agent.go
@@ -34,14 +34,14 @@
 // Agent is a running agent.
 type Agent struct {
 	*process.Process
-	opts  Options
-	conn  *conn
-	disp  *dispatcher
-	front *front
-	flows *flowTable
-	token atomic.Pointer[quiclb.Key]
-	tr    *quic.Transport
-	h3    *http3.Server
+	opts     Options
+	conn     *conn
+	disp     *dispatcher
+	handler  *handler
+	flows    *flowTable
+	tokenKey atomic.Pointer[quiclb.Key]
+	tr       *quic.Transport
+	h3       *http3.Server
 
 	// zoneOut says that the agent's availability zone is out.
 	zoneOut atomic.Bool
@@ -49,10 +49,10 @@
 	stopping atomic.Bool
 	version  bundle.Version
 	kill     chan struct{}
-	killed   sync.Once
+	killOnce sync.Once
 	ticks    int
-	// crossed and dropped are the counts that were logged last.
-	crossed, dropped uint64
+	// loggedCrossed and loggedDropped are the counts that were logged last.
+	loggedCrossed, loggedDropped uint64
 }
 
 // New prepares an agent and opens its sockets.
@@ -69,47 +69,47 @@
 	a := &Agent{opts: o, flows: newFlowTable(), kill: make(chan struct{})}
 	a.disp = &dispatcher{
 		gate: &upstream.Gate{}, client: upstream.NewClientOver(o.Upstream, o.transport()),
-		siblings: &siblings{service: o.Service, self: fleet.NewID(fleet.RoleAgent, o.Link)},
-		guards:   off, counts: &RequestCounts{},
+		siblings:       &siblings{service: o.Service, self: fleet.NewID(fleet.RoleAgent, o.Link)},
+		disabledGuards: off, counts: &RequestCounts{},
 	}
-	a.front = &front{dispatcher: a.disp, zone: o.Zone}
-	if a.Process, err = process.New(o.Options, fleet.RoleAgent, o.Service, l, a.front.peerHandler()); err != nil {
+	a.handler = &handler{dispatcher: a.disp, zone: o.Zone}
+	if a.Process, err = process.New(o.Options, fleet.RoleAgent, o.Service, l, a.handler.peerHandler()); err != nil {
 		s.Close()
 		return nil, err
 	}
 	self := a.Node.Self()
-	a.disp.log, a.disp.peers, a.disp.life = a.Log, a.Peers, self.Incarnation
+	a.disp.log, a.disp.peers, a.disp.incarnation = a.Log, a.Peers, self.Incarnation
 	d := bundle.Timeouts{}.OrDefault()
 	a.disp.timeouts.Store(&d)
-	a.front.orders = &orders{d: a.disp, home: self.Peer, life: self.Incarnation, state: a.State, zone: strconv.Itoa(int(o.Zone))}
+	a.handler.keyedRequests = &keyedRequests{d: a.disp, home: self.Peer, incarnation: self.Incarnation, state: a.State, zone: strconv.Itoa(int(o.Zone))}
 	a.conn = newConn(s, o.Service, o.Zone, self.Incarnation, a.admitFlow, a.flows.len, a.Log)
-	a.conn.paths.moved = func(live []netip.AddrPort) {
+	a.conn.paths.onChange = func(live []netip.AddrPort) {
 		a.Log.Add(events.FlowBalancer, slog.Any("balancers", live))
 	}
-	a.rekey(a.Keys())
-	a.serveFlows(t, self)
+	a.setKeys(a.Keys())
+	a.setUpFlowServer(t, self)
 	a.SetState(func() any { return a.Counts() })
 	return a, nil
 }
 
-// serveFlows sets up the end point of callers' flows.
-func (a *Agent) serveFlows(t *tls.Config, self fleet.Member) {
+// setUpFlowServer sets up the end point of callers' flows.
+func (a *Agent) setUpFlowServer(t *tls.Config, self fleet.Member) {
 	reset := quic.StatelessResetKey(a.Keys()[0].Derive(keyring.UseReset, 32))
 	a.tr = &quic.Transport{
 		Conn: a.conn, StatelessResetKey: &reset,
-		ConnectionIDGenerator: &quiclb.Generator{Key: a.token.Load, Route: quiclb.Route{
+		ConnectionIDGenerator: &quiclb.Generator{Key: a.tokenKey.Load, Route: quiclb.Route{
 			Service: a.opts.Service, Zone: a.opts.Zone, Agent: self.Link,
 			Incarnation: quiclb.Incarnation(self.Incarnation),
 		}},
 	}
-	a.h3 = &http3.Server{Handler: a.front, TLSConfig: http3.ConfigureTLSConfig(t), ConnContext: a.flowContext, MaxHeaderBytes: maxHeader}
+	a.h3 = &http3.Server{Handler: a.handler, TLSConfig: http3.ConfigureTLSConfig(t), ConnContext: a.registerFlow, MaxHeaderBytes: maxHeaderBytes}
 }
 
-// maxHeader bounds a request's header in bytes.
-const maxHeader = 64 << 10
+// maxHeaderBytes bounds a request's header in bytes.
+const maxHeaderBytes = 64 << 10
 
-// flowContext registers a new flow.
-func (a *Agent) flowContext(ctx context.Context, c *quic.Conn) context.Context {
+// registerFlow registers a new flow.
+func (a *Agent) registerFlow(ctx context.Context, c *quic.Conn) context.Context {
 	id := a.flows.add(c, func() {
 		a.Log.Add(events.FlowClosed, slog.String("caller", c.RemoteAddr().String()), slog.Any("cause", context.Cause(c.Context())))
 	})
@@ -133,14 +133,14 @@
 	t := a.disp.timeouts.Load()
 	return &quic.Config{
 		MaxIdleTimeout: t.Idle, KeepAlivePeriod: t.KeepAlive,
-		HandshakeIdleTimeout: handshakeIdle, MaxIncomingStreams: flowStreams,
+		HandshakeIdleTimeout: handshakeTimeout, MaxIncomingStreams: maxStreamsPerFlow,
 		InitialPacketSize: link.MaxPayload,
 	}, nil
 }
 
 const (
-	handshakeIdle = 5 * time.Second
-	flowStreams   = 256
+	handshakeTimeout  = 5 * time.Second
+	maxStreamsPerFlow = 256
 )
 
 // Run serves until the context ends, then leaves gracefully.
@@ -154,7 +154,7 @@
 		return eris.Wrap(err, "flows")
 	}
 	g.Add(func() error { return a.leave(ctx, stopped) }, func(error) { stop() })
-	g.Add(func() error { return a.follow(ctx) }, func(error) { stop() })
+	g.Add(func() error { return a.followFleet(ctx) }, func(error) { stop() })
 	g.Add(func() error { return a.watchHealth(ctx) }, func(error) { stop() })
 	g.Add(func() error { return a.acceptFlows(ctx, l) }, func(error) { a.h3.Close(); l.Close(); a.tr.Close(); a.conn.Close() })
 	a.Log.Add(events.Started, slog.String("program", "agent"), slog.String("link", a.opts.Link.String()))
@@ -176,50 +176,50 @@
 }
 
 // Kill ends the agent at once, as a crash would.
-func (a *Agent) Kill() { a.killed.Do(func() { close(a.kill) }) }
+func (a *Agent) Kill() { a.killOnce.Do(func() { close(a.kill) }) }
 
 const (
-	// reviewEvery is how often silent balancers are dropped from the paths; it
+	// reviewInterval is how often silent balancers are dropped from the paths; it
 	// bounds how late a return path moves.
-	reviewEvery = 250 * time.Millisecond
-	// weighEvery is how often doubts, which come to count with time alone, are
+	reviewInterval = 250 * time.Millisecond
+	// doubtInterval is how often doubts, which come to count with time alone, are
 	// weighed without a change of the view.
-	weighEvery = 5 * time.Second
+	doubtInterval = 5 * time.Second
 )
 
-// follow keeps up with the fleet's view.
-func (a *Agent) follow(ctx context.Context) error {
-	t := time.NewTicker(reviewEvery)
+// followFleet keeps up with the fleet's view.
+func (a *Agent) followFleet(ctx context.Context) error {
+	t := time.NewTicker(reviewInterval)
 	defer t.Stop()
-	weigh := time.NewTicker(weighEvery)
-	defer weigh.Stop()
+	doubtTicker := time.NewTicker(doubtInterval)
+	defer doubtTicker.Stop()
 	changed := fleet.Immediately()
 	for {
 		select {
 		case <-changed:
 			changed = a.State.Changed()
 			a.apply(ctx)
-		case <-weigh.C:
+		case <-doubtTicker.C:
 			a.apply(ctx)
 		case <-t.C:
 			a.conn.paths.expire(time.Now())
-			a.collect()
+			a.runHousekeeping()
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// collectEvery is how many reviews pass between two collections.
-const collectEvery = 240
+// reviewsPerCollection is how many reviews pass between two collections.
+const reviewsPerCollection = 240
 
-func (a *Agent) collect() {
-	if c, d := a.disp.client.Crossed.Load(), a.disp.client.Dropped.Load(); c != a.crossed || d != a.dropped {
-		a.Log.Add(events.AnswerDropped, slog.Uint64("crossed", c-a.crossed), slog.Uint64("dropped", d-a.dropped))
-		a.crossed, a.dropped = c, d
+func (a *Agent) runHousekeeping() {
+	if c, d := a.disp.client.Crossed.Load(), a.disp.client.Dropped.Load(); c != a.loggedCrossed || d != a.loggedDropped {
+		a.Log.Add(events.AnswerDropped, slog.Uint64("crossed", c-a.loggedCrossed), slog.Uint64("dropped", d-a.loggedDropped))
+		a.loggedCrossed, a.loggedDropped = c, d
 	}
-	if a.ticks++; a.ticks%collectEvery == 0 {
-		a.front.orders.journal.Collect(time.Now())
+	if a.ticks++; a.ticks%reviewsPerCollection == 0 {
+		a.handler.keyedRequests.journal.Collect(time.Now())
 	}
 }
 
@@ -233,7 +233,7 @@
 		a.applyBundle(ctx, x)
 	}
 	ms, _ := a.State.Snapshot()
-	a.conn.paths.review(ms, x.Bundle, time.Now())
+	a.conn.paths.updateMembers(ms, x.Bundle, time.Now())
 	a.disp.siblings.set(ms, a.State.Doubted(), x.Bundle)
 }
 
@@ -243,7 +243,7 @@
 		a.Log.Add(events.BundleRefused, slog.Uint64("version", uint64(x.Version)), slog.String("error", err.Error()))
 	}
 	if len(r) > 0 {
-		a.rekey(r)
+		a.setKeys(r)
 		a.Rekey(r)
 	}
 	t := x.Bundle.Timeouts.OrDefault()
@@ -252,29 +252,29 @@
 	a.disp.service.Store(s)
 	if s != nil {
 		a.disp.gate.Limit(s.Upstreams)
-		a.disp.client.CheckID.Store(s.Upstreams.AnswersCarryID && !a.disp.guards.Has(guard.Match))
+		a.disp.client.CheckID.Store(s.Upstreams.AnswersCarryID && !a.disp.disabledGuards.Has(guard.Match))
 	}
 	a.SetReady(s != nil && !a.disp.leaving.Load())
-	a.setZone(ctx, x.Bundle.ZoneOut(a.opts.Zone), t.ZoneOutRun)
+	a.setZoneOut(ctx, x.Bundle.ZoneOut(a.opts.Zone), t.ZoneOutRun)
 }
 
-func (a *Agent) rekey(r keyring.Ring) {
+func (a *Agent) setKeys(r keyring.Ring) {
 	ks := link.NewKeys(r)
 	a.conn.keys.Store(&ks)
-	a.token.Store(quiclb.NewKey(r[0]))
-	a.front.orders.sealer.Store(idempotency.NewSealer(r))
+	a.tokenKey.Store(quiclb.NewKey(r[0]))
+	a.handler.keyedRequests.sealer.Store(idempotency.NewSealer(r))
 }
 
-// setZone closes the flows a moment after the availability zone went out. The
+// setZoneOut closes the flows a moment after the availability zone went out. The
 // users give these flows up; closing them at once lets callers open new ones in
 // other zones, where silence would hold them for the idle timeout.
-func (a *Agent) setZone(ctx context.Context, out bool, grace time.Duration) {
-	if out == a.zoneOut.Load() || a.disp.guards.Has(guard.Zone) {
+func (a *Agent) setZoneOut(ctx context.Context, out bool, grace time.Duration) {
+	if out == a.zoneOut.Load() || a.disp.disabledGuards.Has(guard.Zone) {
 		return
 	}
 	a.zoneOut.Store(out)
 	if !out {
-		a.front.outside.follow(&a.zoneOut)
+		a.handler.siblingRequests.syncZone(&a.zoneOut)
 		a.Log.Add(events.ZoneIn, slog.Int("zone", int(a.opts.Zone)))
 		return
 	}
@@ -285,7 +285,7 @@
 		select {
 		case <-t.C:
 			if a.zoneOut.Load() {
-				a.front.outside.follow(&a.zoneOut)
+				a.handler.siblingRequests.syncZone(&a.zoneOut)
 				a.flows.closeAll(codeZoneOut, "availability zone out")
 			}
 		case <-ctx.Done():
@@ -342,7 +342,7 @@
 		Placed: c.Placed.Load(), Passed: c.Passed.Load(), Refused: c.Refused.Load(), Unknown: c.Unknown.Load(),
 		Replayed: c.Replayed.Load(), ToHome: c.ToHome.Load(), Cut: c.Cut.Load(),
 		Crossed: a.disp.client.Crossed.Load(), Dropped: a.disp.client.Dropped.Load(),
-		Journal: a.front.orders.journal.Len(), Leaving: a.disp.leaving.Load(), ZoneOut: a.zoneOut.Load(),
+		Journal: a.handler.keyedRequests.journal.Len(), Leaving: a.disp.leaving.Load(), ZoneOut: a.zoneOut.Load(),
 		Strange: a.conn.Unknown.Load(), Unrouted: a.conn.Unrouted.Load(),
 	}
 }
--- a/agent/conn.go
+++ b/agent/conn.go
@@ -18,43 +18,43 @@
 // callers' datagrams and adds them to answers; heartbeats and openings that
 // belong elsewhere are dealt with on the way and never reach quic-go.
 type conn struct {
-	socket  *link.Socket
-	service bundle.ServiceID
-	zone    bundle.ZoneID
-	life    fleet.Incarnation
+	socket      *link.Socket
+	service     bundle.ServiceID
+	zone        bundle.ZoneID
+	incarnation fleet.Incarnation
 	// admit returns why one more flow can't be taken, or nothing; flows
 	// returns how many are open.
-	admit   func() events.Reason
-	flows   func() int
-	log     *events.Log
-	keys    atomic.Pointer[link.Keys]
-	paths   paths
-	taken   openings
-	refused refusals
+	admit     func() events.Reason
+	flowCount func() int
+	log       *events.Log
+	keys      atomic.Pointer[link.Keys]
+	paths     paths
+	openings  openingTable
+	refused   refusedCallers
 
 	// Unknown counts messages without a valid tag, Foreign those of another
 	// service, Unrouted answers for which no balancer was known.
 	Unknown, Foreign, Unrouted, Passed atomic.Uint64
 
-	batch *link.Batch
-	next  int
-	have  int
-	// lastBeat is the reader's own: when each balancer was last heard.
-	lastBeat map[netip.AddrPort]time.Time
+	batch     *link.Batch
+	batchNext int
+	batchLen  int
+	// lastTraffic is the reader's own: when each balancer was last heard.
+	lastTraffic map[netip.AddrPort]time.Time
 }
 
 const readBatch = 32
 
-func newConn(s *link.Socket, service bundle.ServiceID, zone bundle.ZoneID, life fleet.Incarnation, admit func() events.Reason, flows func() int, l *events.Log) *conn {
-	return &conn{socket: s, service: service, zone: zone, life: life, admit: admit, flows: flows, log: l, batch: link.NewBatch(readBatch), lastBeat: map[netip.AddrPort]time.Time{}}
+func newConn(s *link.Socket, service bundle.ServiceID, zone bundle.ZoneID, incarnation fleet.Incarnation, admit func() events.Reason, flowCount func() int, l *events.Log) *conn {
+	return &conn{socket: s, service: service, zone: zone, incarnation: incarnation, admit: admit, flowCount: flowCount, log: l, batch: link.NewBatch(readBatch), lastTraffic: map[netip.AddrPort]time.Time{}}
 }
 
 // ReadFrom returns the next datagram of a caller. quic-go reads in one goroutine.
 func (c *conn) ReadFrom(b []byte) (int, net.Addr, error) {
 	for {
-		for c.next < c.have {
-			i := c.next
-			c.next++
+		for c.batchNext < c.batchLen {
+			i := c.batchNext
+			c.batchNext++
 			if p, from := c.handle(c.batch.Payload(i), c.batch.From(i)); p != nil {
 				return copy(b, p), net.UDPAddrFromAddrPort(from), nil
 			}
@@ -63,7 +63,7 @@
 		if err != nil {
 			return 0, nil, err
 		}
-		c.next, c.have = 0, n
+		c.batchNext, c.batchLen = 0, n
 	}
 }
 
@@ -85,39 +85,39 @@
 		c.Foreign.Add(1)
 		return nil, netip.AddrPort{}
 	}
-	c.alive(&m, from)
-	if m.Kind == link.KindForward || m.Kind == link.KindOpen && c.open(&m, p, payload) {
+	c.recordTraffic(&m, from)
+	if m.Kind == link.KindForward || m.Kind == link.KindOpen && c.handleOpening(&m, p, payload) {
 		return payload, m.Caller
 	}
 	return nil, netip.AddrPort{}
 }
 
-// aliveEvery is how often a balancer's datagrams are taken for a heartbeat.
-const aliveEvery = 200 * time.Millisecond
+// implicitHeartbeatInterval is how often a balancer's datagrams are taken for a heartbeat.
+const implicitHeartbeatInterval = 200 * time.Millisecond
 
-// alive takes a caller's datagram for the heartbeat of the balancer it came by.
+// recordTraffic takes a caller's datagram for the heartbeat of the balancer it came by.
 //
 // When balancers die faster than verdicts spread, all that should observe an
 // agent may be dead, and no heartbeat comes; it shows as feeds that end by the
 // idle timeout although their callers' acknowledgements arrive. What carries
-// those is alive. An opening that another agent passed on says nothing.
-func (c *conn) alive(m *link.Message, from netip.AddrPort) {
+// those is recordTraffic. An opening that another agent passed on says nothing.
+func (c *conn) recordTraffic(m *link.Message, from netip.AddrPort) {
 	if m.Position > 0 {
 		return
 	}
 	now := time.Now()
-	if now.Sub(c.lastBeat[from]) < aliveEvery {
+	if now.Sub(c.lastTraffic[from]) < implicitHeartbeatInterval {
 		return
 	}
-	if len(c.lastBeat) > maxBeats {
-		clear(c.lastBeat)
+	if len(c.lastTraffic) > maxTrackedBalancers {
+		clear(c.lastTraffic)
 	}
-	c.lastBeat[from] = now
-	c.paths.beat(from, m.Zone, now)
+	c.lastTraffic[from] = now
+	c.paths.recordHeartbeat(from, m.Zone, now)
 }
 
-// maxBeats bounds the balancers whose last datagram is remembered.
-const maxBeats = 1024
+// maxTrackedBalancers bounds the balancers whose last datagram is remembered.
+const maxTrackedBalancers = 1024
 
 func (c *conn) answerHeartbeat(m *link.Message, from netip.AddrPort) {
 	now := time.Now()
@@ -125,121 +125,121 @@
 		c.Unknown.Add(1)
 		return
 	}
-	c.paths.beat(from, m.Zone, now)
+	c.paths.recordHeartbeat(from, m.Zone, now)
 	var b [link.HeaderSize]byte
 	(*c.keys.Load())[0].Put(b[:], &link.Message{
 		Kind: link.KindHeartbeatAck, Zone: c.zone, Service: c.service,
-		Number: uint64(c.life), Load: c.load(), Sent: uint32(now.Unix()),
+		Number: uint64(c.incarnation), Load: c.load(), Sent: uint32(now.Unix()),
 	})
 	c.socket.WriteToUDPAddrPort(b[:], from)
 }
 
-// open decides on one datagram of an opening and reports whether it is taken.
+// handleOpening decides on one datagram of an opening and reports whether it is taken.
 //
 // Two datagrams of one opening reach this agent over two balancers, or again
 // after a repeat. Deciding each anew would split the handshake when a slot of
 // connections is freed or lost in between; it shows as a caller's time-out. So
 // the first decision stands for as long as a caller would repeat.
-func (c *conn) open(m *link.Message, whole, payload []byte) bool {
+func (c *conn) handleOpening(m *link.Message, datagram, payload []byte) bool {
 	class, cid := quiclb.Classify(payload)
 	if class != quiclb.ClassOpening {
 		return false
 	}
-	k, now := opening{fleet.HashOf(cid), m.Caller}, time.Now()
-	was := c.taken.get(k, now)
-	if was.place == placeNext && returned(m) || was.to.IsValid() && spent(m) {
-		was = where{} // the sibling has compared, and it is busier; or nobody takes it
+	k, now := openingKey{fleet.HashOf(cid), m.Caller}, time.Now()
+	earlier := c.openings.get(k, now)
+	if earlier.decision == decisionPassed && wasReturned(m) || earlier.target.IsValid() && hopsExhausted(m) {
+		earlier = placement{} // the sibling has compared, and it is busier; or nobody takes it
 	}
-	switch was.place {
-	case placeHere:
+	switch earlier.decision {
+	case decisionTaken:
 		return true
-	case placeNext:
-		c.pass(m, whole, was.to)
+	case decisionPassed:
+		c.passOpening(m, datagram, earlier.target)
 		return false
-	case placeBack:
-		c.giveBack(m, whole, was.to)
+	case decisionReturned:
+		c.returnOpening(m, datagram, earlier.target)
 		return false
-	case placeRefused:
+	case decisionRefused:
 		c.refused.add(m.Caller, now)
 		return true
 	}
-	return c.decide(k, m, whole, now)
+	return c.decideOpening(k, m, datagram, now)
 }
 
-func (c *conn) decide(k opening, m *link.Message, whole []byte, now time.Time) bool {
-	why := c.admit()
-	d := events.Decision{ID: events.FlowOpened, Reason: why, Service: c.service, Zone: c.zone, Caller: m.Caller, Flow: k.flow, Target: c.socket.Addr()}
-	if why == "" {
-		why = c.compare(m)
-		d.Reason = why
+func (c *conn) decideOpening(k openingKey, m *link.Message, datagram []byte, now time.Time) bool {
+	reason := c.admit()
+	d := events.Decision{ID: events.FlowOpened, Reason: reason, Service: c.service, Zone: c.zone, Caller: m.Caller, Flow: k.connIDHash, Target: c.socket.Addr()}
+	if reason == "" {
+		reason = c.compareLoads(m)
+		d.Reason = reason
 	}
 	switch {
-	case why == "":
+	case reason == "":
 		d.Reason = events.ReasonFirst
 		if m.Position > 0 {
 			d.Reason = events.ReasonNext
 		}
-		c.taken.put(k, where{place: placeHere}, now)
+		c.openings.put(k, placement{decision: decisionTaken}, now)
 		c.refused.clear(m.Caller, now)
 		c.log.Decide(d)
 		return true
 	case m.Load > 0 && m.Position == 1:
 		d.ID, d.Target = events.FlowPassed, m.Candidates[0]
-		c.taken.put(k, where{placeBack, d.Target}, now)
+		c.openings.put(k, placement{decisionReturned, d.Target}, now)
 		c.log.Decide(d)
-		c.giveBack(m, whole, d.Target)
+		c.returnOpening(m, datagram, d.Target)
 		return false
-	case !last(m):
-		d.ID, d.Target = events.FlowPassed, m.Candidates[next(m)]
-		c.taken.put(k, where{placeNext, d.Target}, now)
+	case !isLastCandidate(m):
+		d.ID, d.Target = events.FlowPassed, m.Candidates[nextCandidate(m)]
+		c.openings.put(k, placement{decisionPassed, d.Target}, now)
 		c.log.Decide(d)
 		m.Load = 0
-		if why == events.ReasonBusier {
+		if reason == events.ReasonBusier {
 			m.Load = c.load()
 		}
-		c.pass(m, whole, d.Target)
+		c.passOpening(m, datagram, d.Target)
 		return false
 	}
 	// Nobody has room: the caller hears so at once, and truthfully, since
 	// nothing of it was run.
 	d.ID = events.FlowRefused
-	c.taken.put(k, where{place: placeRefused}, now)
+	c.openings.put(k, placement{decision: decisionRefused}, now)
 	c.refused.add(m.Caller, now)
 	c.log.Decide(d)
 	return true
 }
 
-// returned reports whether the second candidate gave the opening back.
-func returned(m *link.Message) bool { return m.Position == m.Count && m.Count > 1 }
+// wasReturned reports whether the second candidate gave the opening back.
+func wasReturned(m *link.Message) bool { return m.Position == m.Count && m.Count > 1 }
 
-// next returns the index of the candidate after this one. One that got an
+// nextCandidate returns the index of the candidate after this one. One that got an
 // opening back has tried the second, and goes on with the third.
-func next(m *link.Message) uint8 {
-	if returned(m) {
+func nextCandidate(m *link.Message) uint8 {
+	if wasReturned(m) {
 		return 2
 	}
 	return m.Position + 1
 }
 
-// last reports whether nobody is asked after this candidate.
-func last(m *link.Message) bool { return next(m) >= m.Count || spent(m) }
+// isLastCandidate reports whether nobody is asked after this candidate.
+func isLastCandidate(m *link.Message) bool { return nextCandidate(m) >= m.Count || hopsExhausted(m) }
 
-// mostHops keeps an opening from going round. Balancers with unlike views name unlike
+// maxHops keeps an opening from going round. Balancers with unlike views name unlike
 // candidates for its datagrams, and what one agent keeps of the first list may lead a
 // datagram of the second back to where it was.
-const mostHops = link.MaxCandidates + 2
+const maxHops = link.MaxCandidates + 2
 
-// spent reports whether the opening must be taken or refused where it is.
-func spent(m *link.Message) bool { return m.Number >= mostHops }
+// hopsExhausted reports whether the opening must be taken or refused where it is.
+func hopsExhausted(m *link.Message) bool { return m.Number >= maxHops }
 
-// compare lets the less busy of the first two candidates take the opening (the
+// compareLoads lets the less busy of the first two candidates take the opening (the
 // power of two choices; Mitzenmacher, 2001). The first sends its count of flows
 // along; the second takes the opening if it has no more, or gives it back. Both
 // counts are of this moment, so nobody's report can be stale. It costs one hop
 // between agents for an opening, two for about half of them.
-func (c *conn) compare(m *link.Message) events.Reason {
+func (c *conn) compareLoads(m *link.Message) events.Reason {
 	switch {
-	case spent(m):
+	case hopsExhausted(m):
 	case m.Position == 0 && m.Count > 1 && c.load() > 0:
 		return events.ReasonBusier
 	case m.Position == 1 && m.Load > 0 && c.load() > m.Load:
@@ -248,32 +248,32 @@
 	return ""
 }
 
-func (c *conn) load() uint16 { return uint16(min(c.flows(), 1<<16-1)) }
+func (c *conn) load() uint16 { return uint16(min(c.flowCount(), 1<<16-1)) }
 
-// pass sends the datagram on to the next candidate, as its opening's first one was.
-func (c *conn) pass(m *link.Message, whole []byte, to netip.AddrPort) {
+// passOpening sends the datagram on to the next candidate, as its opening's first one was.
+func (c *conn) passOpening(m *link.Message, datagram []byte, to netip.AddrPort) {
 	c.Passed.Add(1)
-	m.Position = min(next(m), m.Count)
-	c.send(m, whole, to)
+	m.Position = min(nextCandidate(m), m.Count)
+	c.send(m, datagram, to)
 }
 
-// giveBack returns the datagram to the agent that had passed its opening on.
-func (c *conn) giveBack(m *link.Message, whole []byte, to netip.AddrPort) {
+// returnOpening returns the datagram to the agent that had passed its opening on.
+func (c *conn) returnOpening(m *link.Message, datagram []byte, to netip.AddrPort) {
 	m.Position = m.Count
-	c.send(m, whole, to)
+	c.send(m, datagram, to)
 }
 
-func (c *conn) send(m *link.Message, whole []byte, to netip.AddrPort) {
+func (c *conn) send(m *link.Message, datagram []byte, to netip.AddrPort) {
 	m.Number++
-	(*c.keys.Load())[0].Put(whole, m)
-	c.socket.WriteToUDPAddrPort(whole, to)
+	(*c.keys.Load())[0].Put(datagram, m)
+	c.socket.WriteToUDPAddrPort(datagram, to)
 }
 
-type outgoing struct {
+type sendBuffer struct {
 	b [link.HeaderSize + link.MaxPayload]byte
 }
 
-var outgoings = sync.Pool{New: func() any { return new(outgoing) }}
+var sendBuffers = sync.Pool{New: func() any { return new(sendBuffer) }}
 
 // WriteTo sends a datagram to a caller by a live balancer.
 func (c *conn) WriteTo(p []byte, to net.Addr) (int, error) {
@@ -288,8 +288,8 @@
 		c.Unrouted.Add(1)
 		return len(p), nil
 	}
-	o := outgoings.Get().(*outgoing)
-	defer outgoings.Put(o)
+	o := sendBuffers.Get().(*sendBuffer)
+	defer sendBuffers.Put(o)
 	m := link.Message{Kind: link.KindReturn, Zone: c.zone, Service: c.service, Caller: a}
 	(*c.keys.Load())[0].Put(o.b[:], &m)
 	n := copy(o.b[link.HeaderSize:], p)
@@ -314,20 +314,20 @@
 // SetWriteDeadline sets the write deadline of the link's socket.
 func (c *conn) SetWriteDeadline(t time.Time) error { return c.socket.SetWriteDeadline(t) }
 
-// refusals are the callers whose opening is to be refused by quic-go, which
+// refusedCallers are the callers whose opening is to be refused by quic-go, which
 // asks by address only. Bounded like openings.
-type refusals struct {
-	o openings
+type refusedCallers struct {
+	table openingTable
 }
 
-func (r *refusals) add(a netip.AddrPort, now time.Time) {
-	r.o.put(opening{caller: a}, where{place: placeRefused}, now)
+func (r *refusedCallers) add(a netip.AddrPort, now time.Time) {
+	r.table.put(openingKey{caller: a}, placement{decision: decisionRefused}, now)
 }
 
-func (r *refusals) has(a netip.AddrPort, now time.Time) bool {
-	return r.o.get(opening{caller: a}, now).place == placeRefused
+func (r *refusedCallers) has(a netip.AddrPort, now time.Time) bool {
+	return r.table.get(openingKey{caller: a}, now).decision == decisionRefused
 }
 
-func (r *refusals) clear(a netip.AddrPort, now time.Time) {
-	r.o.put(opening{caller: a}, where{}, now)
+func (r *refusedCallers) clear(a netip.AddrPort, now time.Time) {
+	r.table.put(openingKey{caller: a}, placement{}, now)
 }
--- a/agent/conn_test.go
+++ b/agent/conn_test.go
@@ -14,9 +14,9 @@
 )
 
 var (
-	secret   = keyring.NewSecret(1)
-	someone  = netip.MustParseAddrPort("198.51.100.7:4433")
-	balancer = netip.MustParseAddrPort("127.0.0.1:9")
+	secret       = keyring.NewSecret(1)
+	callerAddr   = netip.MustParseAddrPort("198.51.100.7:4433")
+	balancerAddr = netip.MustParseAddrPort("127.0.0.1:9")
 )
 
 // listener is the next agent in the list of candidates.
@@ -38,19 +38,19 @@
 	return c
 }
 
-func opens(id uint64) []byte {
+func initialPacket(id uint64) []byte {
 	return append(binary.BigEndian.AppendUint64([]byte{0xc0, 0, 0, 0, 1, 8}, id), make([]byte, 100)...)
 }
 
-// arrive builds the datagram of an opening as a balancer sends it.
-func arrive(m link.Message, payload []byte) []byte {
+// openingDatagram builds the datagram of an opening as a balancer sends it.
+func openingDatagram(m link.Message, payload []byte) []byte {
 	b := append(make([]byte, link.HeaderSize), payload...)
 	m.Kind = link.KindOpen
 	if m.Service == 0 {
 		m.Service = 1
 	}
 	if !m.Caller.IsValid() {
-		m.Caller = someone
+		m.Caller = callerAddr
 	}
 	link.NewKey(secret).Put(b, &m)
 	return b
@@ -64,24 +64,24 @@
 	next := listener(t)
 	for name, x := range map[string]struct {
 		first, then events.Reason
-		here        bool
+		takenHere   bool
 	}{
 		"full, then free":    {events.ReasonFull, "", false},
 		"free, then full":    {"", events.ReasonFull, true},
 		"free, then leaving": {"", events.ReasonLeaving, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			why := x.first
-			c := testConn(t, func() events.Reason { return why })
+			reason := x.first
+			c := testConn(t, func() events.Reason { return reason })
 			m := link.Message{Count: 2, Candidates: [link.MaxCandidates]netip.AddrPort{c.socket.Addr(), next.Addr()}}
 			for i := range 4 {
-				p, _ := c.handle(arrive(m, opens(5)), balancer)
-				if (p != nil) != x.here {
+				p, _ := c.handle(openingDatagram(m, initialPacket(5)), balancerAddr)
+				if (p != nil) != x.takenHere {
 					t.Errorf("datagram %d taken here: %t", i, p != nil)
 				}
-				why = x.then
+				reason = x.then
 			}
-			if p, _ := c.handle(arrive(m, opens(6)), balancer); (p != nil) != (x.then == "") {
+			if p, _ := c.handle(openingDatagram(m, initialPacket(6)), balancerAddr); (p != nil) != (x.then == "") {
 				t.Error("another opening was decided by the first one's fate")
 			}
 		})
@@ -91,12 +91,12 @@
 func TestPassedOpeningNamesItsNextCandidate(t *testing.T) {
 	next := listener(t)
 	c := testConn(t, func() events.Reason { return events.ReasonFull })
-	c.handle(arrive(link.Message{Count: 2, Candidates: [link.MaxCandidates]netip.AddrPort{c.socket.Addr(), next.Addr()}}, opens(5)), balancer)
+	c.handle(openingDatagram(link.Message{Count: 2, Candidates: [link.MaxCandidates]netip.AddrPort{c.socket.Addr(), next.Addr()}}, initialPacket(5)), balancerAddr)
 	b := make([]byte, 2048)
 	n, err := next.Read(b)
 	var m link.Message
 	p, ok := (*c.keys.Load()).Get(b[:n], &m)
-	if err != nil || !ok || m.Position != 1 || m.Caller != someone || string(p) != string(opens(5)) {
+	if err != nil || !ok || m.Position != 1 || m.Caller != callerAddr || string(p) != string(initialPacket(5)) {
 		t.Errorf("the next agent read %+v, %t, %v", m, ok, err)
 	}
 }
@@ -112,14 +112,14 @@
 		"first busier": {9, 3, false}, "second busier": {3, 9, true}, "alike": {5, 5, false}, "first empty": {0, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			room := func() events.Reason { return "" }
-			a, b := testConn(t, room), testConn(t, room)
-			a.flows, b.flows = func() int { return x.first }, func() int { return x.second }
+			admitAll := func() events.Reason { return "" }
+			a, b := testConn(t, admitAll), testConn(t, admitAll)
+			a.flowCount, b.flowCount = func() int { return x.first }, func() int { return x.second }
 			m := link.Message{Count: 2, Candidates: [link.MaxCandidates]netip.AddrPort{a.socket.Addr(), b.socket.Addr()}}
 			for datagram := range 3 {
 				at, hops := a, 0
-				p := arrive(m, opens(5))
-				for taken, _ := at.handle(p, balancer); taken == nil; taken, _ = at.handle(p, balancer) {
+				p := openingDatagram(m, initialPacket(5))
+				for taken, _ := at.handle(p, balancerAddr); taken == nil; taken, _ = at.handle(p, balancerAddr) {
 					if at, hops = other(at, a, b), hops+1; hops > 2 {
 						t.Fatal("the opening goes round")
 					}
@@ -150,10 +150,10 @@
 	return b[:n]
 }
 
-// fleetOf is agents that pass openings to each other.
-type fleetOf []*conn
+// agentConns is agents that pass openings to each other.
+type agentConns []*conn
 
-func (f fleetOf) list(at ...int) link.Message {
+func (f agentConns) openingFor(at ...int) link.Message {
 	m := link.Message{Count: uint8(len(at))}
 	for i, a := range at {
 		m.Candidates[i] = f[a].socket.Addr()
@@ -162,10 +162,10 @@
 }
 
 // deliver gives the datagram to an agent and follows it; it returns where it ended.
-func (f fleetOf) deliver(t *testing.T, p []byte, at int) int {
+func (f agentConns) deliver(t *testing.T, p []byte, at int) int {
 	t.Helper()
-	for range 3 * mostHops {
-		if p, _ := f[at].handle(p, balancer); p != nil {
+	for range 3 * maxHops {
+		if p, _ := f[at].handle(p, balancerAddr); p != nil {
 			return at
 		}
 		p, at = f.receive(t)
@@ -175,7 +175,7 @@
 }
 
 // receive returns the next datagram that an agent passed on, and to which.
-func (f fleetOf) receive(t *testing.T) ([]byte, int) {
+func (f agentConns) receive(t *testing.T) ([]byte, int) {
 	t.Helper()
 	for {
 		for i, c := range f {
@@ -192,22 +192,22 @@
 // since two balancers named unlike candidates for its datagrams and one of the agents
 // began to leave in between.
 func TestOpeningWithUnlikeCandidatesEndsAtOneAgent(t *testing.T) {
-	why := make([]events.Reason, 4)
-	var f fleetOf
-	for i, flows := range []int{1, 3, 9, 2} {
-		c := testConn(t, func() events.Reason { return why[i] })
-		c.flows = func() int { return flows }
+	reasons := make([]events.Reason, 4)
+	var f agentConns
+	for i, flowCount := range []int{1, 3, 9, 2} {
+		c := testConn(t, func() events.Reason { return reasons[i] })
+		c.flowCount = func() int { return flowCount }
 		f = append(f, c)
 	}
-	why[0] = events.ReasonLeaving
-	f[1].handle(arrive(f.list(1, 2, 3), opens(5)), balancer)
+	reasons[0] = events.ReasonLeaving
+	f[1].handle(openingDatagram(f.openingFor(1, 2, 3), initialPacket(5)), balancerAddr)
 	p, at := f.receive(t)
-	f[at].handle(p, balancer) // busier, it gives the opening back
+	f[at].handle(p, balancerAddr) // busier, it gives the opening back
 	back, at := f.receive(t)
-	ends := map[int]bool{f.deliver(t, arrive(f.list(0, 1, 2), opens(5)), 0): true}
+	ends := map[int]bool{f.deliver(t, openingDatagram(f.openingFor(0, 1, 2), initialPacket(5)), 0): true}
 	ends[f.deliver(t, back, at)] = true
-	ends[f.deliver(t, arrive(f.list(0, 1, 2), opens(5)), 0)] = true
-	ends[f.deliver(t, arrive(f.list(3, 2, 1), opens(5)), 2)] = true
+	ends[f.deliver(t, openingDatagram(f.openingFor(0, 1, 2), initialPacket(5)), 0)] = true
+	ends[f.deliver(t, openingDatagram(f.openingFor(3, 2, 1), initialPacket(5)), 2)] = true
 	if len(ends) != 1 || !ends[1] {
 		t.Errorf("the opening's datagrams ended at %v", ends)
 	}
@@ -215,18 +215,18 @@
 
 // Guards against an opening that goes round among agents that all leave.
 func TestOpeningAmongLeavingAgentsIsRefused(t *testing.T) {
-	var f fleetOf
+	var f agentConns
 	leaving := events.Reason("")
 	for range 3 {
 		c := testConn(t, func() events.Reason { return leaving })
-		c.flows = func() int { return 1 + len(f) }
+		c.flowCount = func() int { return 1 + len(f) }
 		f = append(f, c)
 	}
-	f[0].taken.put(opening{fleet.HashOf(binary.BigEndian.AppendUint64(nil, 5)), someone}, where{placeNext, f[1].socket.Addr()}, time.Now())
-	f[1].taken.put(opening{fleet.HashOf(binary.BigEndian.AppendUint64(nil, 5)), someone}, where{placeNext, f[0].socket.Addr()}, time.Now())
+	f[0].openings.put(openingKey{fleet.HashOf(binary.BigEndian.AppendUint64(nil, 5)), callerAddr}, placement{decisionPassed, f[1].socket.Addr()}, time.Now())
+	f[1].openings.put(openingKey{fleet.HashOf(binary.BigEndian.AppendUint64(nil, 5)), callerAddr}, placement{decisionPassed, f[0].socket.Addr()}, time.Now())
 	leaving = events.ReasonLeaving
-	at := f.deliver(t, arrive(f.list(2, 0, 1), opens(5)), 2)
-	if !f[at].refused.has(someone, time.Now()) {
+	at := f.deliver(t, openingDatagram(f.openingFor(2, 0, 1), initialPacket(5)), 2)
+	if !f[at].refused.has(callerAddr, time.Now()) {
 		t.Error("it was taken by an agent that leaves")
 	}
 }
@@ -234,15 +234,15 @@
 // Guards against a panic on the datagram of an opening that was passed on before, if it
 // names the agent as its last candidate.
 func TestKnownOpeningAtItsLastCandidateIsPassedOn(t *testing.T) {
-	f := fleetOf{testConn(t, func() events.Reason { return "" }), testConn(t, func() events.Reason { return "" })}
-	f[0].flows = func() int { return 5 }
-	f[0].handle(arrive(f.list(0, 1), opens(5)), balancer)
+	f := agentConns{testConn(t, func() events.Reason { return "" }), testConn(t, func() events.Reason { return "" })}
+	f[0].flowCount = func() int { return 5 }
+	f[0].handle(openingDatagram(f.openingFor(0, 1), initialPacket(5)), balancerAddr)
 	if _, at := f.receive(t); at != 1 {
 		t.Fatal("it was not passed on")
 	}
-	m := f.list(1, 1, 1, 0)
+	m := f.openingFor(1, 1, 1, 0)
 	m.Position = 3
-	if at := f.deliver(t, arrive(m, opens(5)), 0); at != 1 {
+	if at := f.deliver(t, openingDatagram(m, initialPacket(5)), 0); at != 1 {
 		t.Errorf("the second datagram ended at agent %d, the first at 1", at)
 	}
 }
@@ -251,14 +251,14 @@
 // last one, not run into its own time-out; and a caller that was refused once
 // must be able to open a flow when there is room again.
 func TestLastCandidateRefusesAtOnce(t *testing.T) {
-	why := events.ReasonFull
-	c := testConn(t, func() events.Reason { return why })
+	reason := events.ReasonFull
+	c := testConn(t, func() events.Reason { return reason })
 	m := link.Message{Count: 1, Candidates: [link.MaxCandidates]netip.AddrPort{c.socket.Addr()}}
-	if p, _ := c.handle(arrive(m, opens(5)), balancer); p == nil || !c.refused.has(someone, time.Now()) {
+	if p, _ := c.handle(openingDatagram(m, initialPacket(5)), balancerAddr); p == nil || !c.refused.has(callerAddr, time.Now()) {
 		t.Error("the opening was not given to quic-go to refuse")
 	}
-	why = ""
-	if p, _ := c.handle(arrive(m, opens(6)), balancer); p == nil || c.refused.has(someone, time.Now()) {
+	reason = ""
+	if p, _ := c.handle(openingDatagram(m, initialPacket(6)), balancerAddr); p == nil || c.refused.has(callerAddr, time.Now()) {
 		t.Error("the next opening of the caller is refused, too")
 	}
 }
@@ -268,12 +268,12 @@
 func TestDatagramsOfOtherServicesAreNotTaken(t *testing.T) {
 	c := testConn(t, func() events.Reason { return "" })
 	m := link.Message{Service: 2, Count: 1, Candidates: [link.MaxCandidates]netip.AddrPort{c.socket.Addr()}}
-	if p, _ := c.handle(arrive(m, opens(5)), balancer); p != nil {
+	if p, _ := c.handle(openingDatagram(m, initialPacket(5)), balancerAddr); p != nil {
 		t.Error("an opening of another service was taken")
 	}
 	b := append(make([]byte, link.HeaderSize), 0x40)
-	link.NewKey(secret).Put(b, &link.Message{Kind: link.KindForward, Service: 2, Caller: someone})
-	if p, _ := c.handle(b, balancer); p != nil {
+	link.NewKey(secret).Put(b, &link.Message{Kind: link.KindForward, Service: 2, Caller: callerAddr})
+	if p, _ := c.handle(b, balancerAddr); p != nil {
 		t.Error("a datagram of another service was taken")
 	}
 }
@@ -283,7 +283,7 @@
 func TestCallerWithoutIPv4IsDropped(t *testing.T) {
 	c := testConn(t, func() events.Reason { return "" })
 	m := link.Message{Count: 1, Caller: netip.MustParseAddrPort("[2001:db8::1]:1"), Candidates: [link.MaxCandidates]netip.AddrPort{c.socket.Addr()}}
-	if p, _ := c.handle(arrive(m, opens(5)), balancer); p != nil {
+	if p, _ := c.handle(openingDatagram(m, initialPacket(5)), balancerAddr); p != nil {
 		t.Error("it was taken")
 	}
 }
@@ -296,20 +296,20 @@
 		var p paths
 		a, b := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
 		for range 4 {
-			p.beat(a, 1, time.Now())
-			p.beat(b, 1, time.Now())
+			p.recordHeartbeat(a, 1, time.Now())
+			p.recordHeartbeat(b, 1, time.Now())
 			time.Sleep(500 * time.Millisecond)
 		}
-		dead, _ := p.pick(someone)
+		dead, _ := p.pick(callerAddr)
 		alive := a
 		if dead == a {
 			alive = b
 		}
 		start := time.Now()
 		for {
-			p.beat(alive, 1, time.Now())
+			p.recordHeartbeat(alive, 1, time.Now())
 			p.expire(time.Now())
-			if got, ok := p.pick(someone); ok && got == alive {
+			if got, ok := p.pick(callerAddr); ok && got == alive {
 				break
 			}
 			time.Sleep(250 * time.Millisecond)
@@ -324,21 +324,21 @@
 // still know a true opening for as long as a caller repeats it.
 func TestOpeningsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var o openings
-		for i := range uint64(10 * openingsMost) {
-			o.put(opening{flow: i}, where{place: placeHere}, time.Now())
+		var o openingTable
+		for i := range uint64(10 * maxOpenings) {
+			o.put(openingKey{connIDHash: i}, placement{decision: decisionTaken}, time.Now())
 		}
-		if n := len(o.young) + len(o.old); n > 2*openingsMost {
+		if n := len(o.current) + len(o.previous); n > 2*maxOpenings {
 			t.Errorf("%d openings are kept", n)
 		}
-		k := opening{flow: 1 << 60}
-		o.put(k, where{place: placeNext}, time.Now())
-		time.Sleep(openingLife - time.Second)
-		if o.get(k, time.Now()).place != placeNext {
+		k := openingKey{connIDHash: 1 << 60}
+		o.put(k, placement{decision: decisionPassed}, time.Now())
+		time.Sleep(openingPeriod - time.Second)
+		if o.get(k, time.Now()).decision != decisionPassed {
 			t.Error("forgotten while the caller still repeats it")
 		}
-		time.Sleep(3 * openingLife)
-		if o.get(k, time.Now()).place != placeUnknown {
+		time.Sleep(3 * openingPeriod)
+		if o.get(k, time.Now()).decision != decisionNone {
 			t.Error("remembered for good")
 		}
 	})
@@ -354,12 +354,12 @@
 	}
 	var p paths
 	now := time.Now()
-	deaf := map[netip.AddrPort]int{}
+	unreachable := map[netip.AddrPort]int{}
 	longest := 0
 	for first := 1; first < 60; first++ { // first..first+2 live, first-1 has just died
 		for ms := 0; ms < 1000; ms += 250 {
 			for n := first; n < first+3; n++ {
-				p.beat(host(n), 1, now)
+				p.recordHeartbeat(host(n), 1, now)
 			}
 			p.expire(now)
 			now = now.Add(250 * time.Millisecond)
@@ -367,11 +367,11 @@
 		for c := range 2000 {
 			caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(20000+c))
 			if via, ok := p.pick(caller); ok && via.Addr().Compare(host(first).Addr()) >= 0 {
-				deaf[caller] = 0
+				unreachable[caller] = 0
 				continue
 			}
-			deaf[caller]++
-			longest = max(longest, deaf[caller])
+			unreachable[caller]++
+			longest = max(longest, unreachable[caller])
 		}
 	}
 	if longest > 4 {
@@ -386,7 +386,7 @@
 	now := time.Now()
 	gone := netip.MustParseAddrPort("10.0.0.3:7001")
 	for n := byte(1); n <= 5; n++ {
-		p.beat(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7001), 1, now)
+		p.recordHeartbeat(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7001), 1, now)
 	}
 	pick := func(c int) netip.AddrPort {
 		a, _ := p.pick(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(20000+c)))
@@ -396,12 +396,12 @@
 	for c := range 1000 {
 		before[c] = pick(c)
 	}
-	for a := range p.heard {
+	for a := range p.lastHeard {
 		if a != gone {
-			p.beat(a, 1, now.Add(time.Second))
+			p.recordHeartbeat(a, 1, now.Add(time.Second))
 		}
 	}
-	p.expire(now.Add(pathDead + time.Millisecond))
+	p.expire(now.Add(balancerTimeout + time.Millisecond))
 	moved := 0
 	for c, was := range before {
 		if is := pick(c); is != was || is == gone {
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -25,13 +25,13 @@
 )
 
 const (
-	// mostPasses bounds the siblings that one request is offered to.
-	mostPasses = 2
-	// passAgain is how long a request waits before it tries the second sibling.
-	passAgain = 200 * time.Millisecond
-	// shortBody is the longest request whose time to answer says something
+	// maxPasses bounds the siblings that one request is offered to.
+	maxPasses = 2
+	// secondPassDelay is how long a request waits before it tries the second sibling.
+	secondPassDelay = 200 * time.Millisecond
+	// maxTimedBody is the longest request whose time to answer says something
 	// about the upstream.
-	shortBody = 64 << 10
+	maxTimedBody = 64 << 10
 )
 
 // errShed is an upstream's answer that says that it did not run the request.
@@ -43,10 +43,10 @@
 	body *replayBody
 	flow upstream.FlowID
 	// passed says that a sibling sent it: it is run or refused at once.
-	passed bool
-	hold   bundle.Holding
-	tried  map[fleet.MemberID]bool
-	passes int
+	passed    bool
+	holding   bundle.Holding
+	tried     map[fleet.MemberID]bool
+	passCount int
 }
 
 // safe reports whether the request may be sent again although it may have run:
@@ -60,31 +60,31 @@
 	return false
 }
 
-// answer is an upstream's answer that still has to be read.
-type answer struct {
+// response is an upstream's response that still has to be read.
+type response struct {
 	*http.Response
 	// relayed says that the answer is a home's, with its outcome header.
 	relayed bool
-	// end must be called when the body was read, with the error that cut it.
-	end func(error)
+	// finish must be called when the body was read, with the error that cut it.
+	finish func(error)
 }
 
 // dispatcher places requests for one service.
 type dispatcher struct {
-	gate     *upstream.Gate
-	client   *upstream.Client
-	siblings *siblings
-	peers    http.RoundTripper
-	log      *events.Log
-	service  atomic.Pointer[bundle.Service]
-	timeouts atomic.Pointer[bundle.Timeouts]
-	leaving  atomic.Bool
-	life     fleet.Incarnation
-	seq      atomic.Uint64
-	running  atomic.Int64
-	retries  retryBudget
-	guards   guard.Off
-	counts   *RequestCounts
+	gate           *upstream.Gate
+	client         *upstream.Client
+	siblings       *siblings
+	peers          http.RoundTripper
+	log            *events.Log
+	service        atomic.Pointer[bundle.Service]
+	timeouts       atomic.Pointer[bundle.Timeouts]
+	leaving        atomic.Bool
+	incarnation    fleet.Incarnation
+	seq            atomic.Uint64
+	running        atomic.Int64
+	retries        retryBudget
+	disabledGuards guard.Off
+	counts         *RequestCounts
 }
 
 // RequestCounts are what became of requests.
@@ -93,42 +93,42 @@
 }
 
 // place returns the answer to the job or the refusal.
-func (d *dispatcher) place(ctx context.Context, j *job) (*answer, error) {
-	if d.guards.Has(guard.Slots) {
+func (d *dispatcher) place(ctx context.Context, j *job) (*response, error) {
+	if d.disabledGuards.Has(guard.Slots) {
 		d.gate.AcquireAnyway()
-		return d.run(ctx, j)
+		return d.runLocally(ctx, j)
 	}
 	if !d.isLeaving() && d.gate.TryAcquire() == nil {
-		return d.run(ctx, j)
+		return d.runLocally(ctx, j)
 	}
 	if j.passed {
 		return nil, refuseFull("this upstream has no free slot")
 	}
-	if a, err := d.pass(ctx, j); a != nil || !isNotRun(err) {
+	if a, err := d.passToSibling(ctx, j); a != nil || !isNotRun(err) {
 		return a, err
 	}
 	if d.isLeaving() {
 		return d.passOrRefuse(ctx, j, refuseFull("this upstream leaves and no other has a free slot"))
 	}
-	return d.wait(ctx, j)
+	return d.waitForSlot(ctx, j)
 }
 
 // isLeaving reports whether the upstream may get no new work.
 func (d *dispatcher) isLeaving() bool { return d.leaving.Load() }
 
-// wait queues for a slot and tries another sibling on the way.
-func (d *dispatcher) wait(ctx context.Context, j *job) (*answer, error) {
+// waitForSlot queues for a slot and tries another sibling on the way.
+func (d *dispatcher) waitForSlot(ctx context.Context, j *job) (*response, error) {
 	queue := d.timeouts.Load().Queue
-	err := d.gate.Acquire(ctx, j.flow, min(passAgain, queue))
+	err := d.gate.Acquire(ctx, j.flow, min(secondPassDelay, queue))
 	if errors.Is(err, upstream.ErrWait) {
-		if a, err := d.pass(ctx, j); a != nil || !isNotRun(err) {
+		if a, err := d.passToSibling(ctx, j); a != nil || !isNotRun(err) {
 			return a, err
 		}
 		err = d.gate.Acquire(ctx, j.flow, queue)
 	}
 	switch {
 	case err == nil:
-		return d.run(ctx, j)
+		return d.runLocally(ctx, j)
 	case ctx.Err() != nil:
 		return nil, refuseTimeout("it ended before a slot was free", OutcomeNotRun)
 	}
@@ -136,8 +136,8 @@
 }
 
 // passOrRefuse passes the job on; if no sibling takes it, it is refused as given.
-func (d *dispatcher) passOrRefuse(ctx context.Context, j *job, refused *refusal) (*answer, error) {
-	if a, err := d.pass(ctx, j); a != nil || !isNotRun(err) {
+func (d *dispatcher) passOrRefuse(ctx context.Context, j *job, refused *refusal) (*response, error) {
+	if a, err := d.passToSibling(ctx, j); a != nil || !isNotRun(err) {
 		return a, err
 	}
 	return nil, refused
@@ -152,43 +152,43 @@
 	return errors.Is(err, upstream.ErrNotRun)
 }
 
-// run sends the job to the own upstream; a slot is held.
-func (d *dispatcher) run(ctx context.Context, j *job) (*answer, error) {
+// runLocally sends the job to the own upstream; a slot is held.
+func (d *dispatcher) runLocally(ctx context.Context, j *job) (*response, error) {
 	body, ok := j.body.reader()
 	if !ok {
 		d.gate.Release(upstream.Sign{})
 		return nil, refuseFull("too much of the request was read to send it again")
 	}
-	id := d.newID()
-	r := newOutgoing(ctx, j.r, body)
+	id := d.newRequestID()
+	r := newForwardedRequest(ctx, j.r, body)
 	d.counts.Placed.Add(1)
 	d.running.Add(1)
 	d.logRequest(events.RequestPlaced, j, string(id))
 	start := time.Now()
 	a, err := d.client.Do(r, id)
 	if err != nil {
-		return d.failed(ctx, j, start, err)
+		return d.handleFailure(ctx, j, start, err)
 	}
 	if s := d.service.Load().Upstreams.ShedStatus; s != 0 && a.StatusCode == s {
 		a.Body.Close()
-		return d.failed(ctx, j, start, fmt.Errorf("%w with status %d", errShed, s))
+		return d.handleFailure(ctx, j, start, fmt.Errorf("%w with status %d", errShed, s))
 	}
-	if j.r.ContentLength >= 0 && j.r.ContentLength <= shortBody && d.gate.Answered(start, time.Since(start)) {
+	if j.r.ContentLength >= 0 && j.r.ContentLength <= maxTimedBody && d.gate.Answered(start, time.Since(start)) {
 		d.logCold()
 	}
-	return d.answered(ctx, j, a, upstream.Sign{Kind: upstream.SignGood, Began: start}), nil
+	return d.handleResponse(ctx, j, a, upstream.Sign{Kind: upstream.SignGood, Began: start}), nil
 }
 
-// newID returns an id that no other run of a request has. Two agents count the
+// newRequestID returns an id that no other run of a request has. Two agents count the
 // same numbers, and may have begun in the same microsecond; were their ids the
 // same, an answer that strays from one to the other would pass for its own.
-func (d *dispatcher) newID() upstream.RequestID {
+func (d *dispatcher) newRequestID() upstream.RequestID {
 	self := fleet.HashOf([]byte(d.siblings.self))
-	return upstream.RequestID(fmt.Sprintf("%x-%x-%d", self, uint64(d.life), d.seq.Add(1)))
+	return upstream.RequestID(fmt.Sprintf("%x-%x-%d", self, uint64(d.incarnation), d.seq.Add(1)))
 }
 
-// failed gives the slot back after the upstream gave no answer.
-func (d *dispatcher) failed(ctx context.Context, j *job, began time.Time, err error) (*answer, error) {
+// handleFailure gives the slot back after the upstream gave no answer.
+func (d *dispatcher) handleFailure(ctx context.Context, j *job, began time.Time, err error) (*response, error) {
 	sign := upstream.Sign{Kind: upstream.SignBad, Began: began}
 	var long *http.MaxBytesError
 	tooLarge := errors.As(err, &long)
@@ -206,7 +206,7 @@
 		return nil, refuseTooLarge(OutcomeUnknown)
 	}
 	refused := refuseFull(err.Error())
-	if !errors.Is(err, upstream.ErrNotRun) && !d.guards.Has(guard.Retry) {
+	if !errors.Is(err, upstream.ErrNotRun) && !d.disabledGuards.Has(guard.Retry) {
 		refused = refuseUnknown(err.Error())
 		if ctx.Err() != nil {
 			return nil, refuseTimeout("the upstream had not answered", OutcomeUnknown)
@@ -221,17 +221,17 @@
 	return d.passOrRefuse(ctx, j, refused)
 }
 
-// answered wires the end of the answer to the slot.
-func (d *dispatcher) answered(ctx context.Context, j *job, a *http.Response, sign upstream.Sign) *answer {
+// handleResponse wires the end of the answer to the slot.
+func (d *dispatcher) handleResponse(ctx context.Context, j *job, a *http.Response, sign upstream.Sign) *response {
 	if a.StatusCode >= http.StatusBadGateway && a.StatusCode <= http.StatusGatewayTimeout {
 		sign.Kind = upstream.SignBad
 	}
-	feed := j.hold == bundle.HoldingConnection
+	feed := j.holding == bundle.HoldingConnection
 	if feed {
 		d.release(sign) // a feed has started and now mostly waits
 	}
 	body := a.Body // an order's answer is read into another one
-	return &answer{Response: a, end: func(err error) {
+	return &response{Response: a, finish: func(err error) {
 		d.running.Add(-1)
 		body.Close()
 		if feed {
@@ -278,13 +278,13 @@
 		slog.String("target", target), slog.Bool("passed", j.passed))
 }
 
-// hopHeaders are of one connection and go no further (RFC 9110, 7.6.1).
-var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
+// hopByHopHeaders are of one connection and go no further (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-// ownHeaders are of the fleet; a caller can't set them.
-var ownHeaders = []string{HeaderOutcome, headerFree, headerPassed, headerFlow, headerService, upstream.HeaderRequest}
+// internalHeaders are of the fleet; a caller can't set them.
+var internalHeaders = []string{HeaderOutcome, headerFree, headerPassed, headerFlow, headerService, upstream.HeaderRequest}
 
-func newOutgoing(ctx context.Context, r *http.Request, body interface {
+func newForwardedRequest(ctx context.Context, r *http.Request, body interface {
 	Read([]byte) (int, error)
 	Close() error
 }) *http.Request {
@@ -293,7 +293,7 @@
 	if r.ContentLength == 0 {
 		o.Body = http.NoBody
 	}
-	for _, h := range append(hopHeaders, ownHeaders...) {
+	for _, h := range append(hopByHopHeaders, internalHeaders...) {
 		o.Header.Del(h)
 	}
 	return o
@@ -307,12 +307,12 @@
 }
 
 const (
-	retryCost   = 10 // each fresh request earns one, so a tenth may be retried
-	retryTokens = 100 * retryCost
+	retryCost      = 10 // each fresh request earns one, so a tenth may be retried
+	maxRetryTokens = 100 * retryCost
 )
 
 func (b *retryBudget) earn() {
-	if b.tokens.Load() < retryTokens {
+	if b.tokens.Load() < maxRetryTokens {
 		b.tokens.Add(1)
 	}
 }
@@ -325,7 +325,7 @@
 	return true
 }
 
-func parseFlow(h http.Header) upstream.FlowID {
+func parseFlowID(h http.Header) upstream.FlowID {
 	n, _ := strconv.ParseUint(h.Get(headerFlow), 16, 64)
 	return upstream.FlowID(n)
 }
--- a/agent/dispatch_test.go
+++ b/agent/dispatch_test.go
@@ -19,8 +19,8 @@
 
 // slowToStop is an upstream that notices a caller's end and stops later, when it is let go.
 type slowToStop struct {
-	began, broken, letGo, stopped chan struct{}
-	answerFirst                   bool
+	began, aborted, release, stopped chan struct{}
+	answerFirst                      bool
 }
 
 func newSlowToStop(answerFirst bool) *slowToStop {
@@ -34,8 +34,8 @@
 	}
 	close(s.began)
 	<-r.Context().Done()
-	close(s.broken)
-	<-s.letGo
+	close(s.aborted)
+	<-s.release
 	close(s.stopped)
 }
 
@@ -44,11 +44,11 @@
 func TestSlotOfABrokenRequestIsFreeWhenTheUpstreamHasStopped(t *testing.T) {
 	for name, answerFirst := range map[string]bool{"before its answer": false, "in mid-answer": true} {
 		t.Run(name, func(t *testing.T) {
-			breakOffAndWait(t, upstream.ProtocolHTTP1, answerFirst, func(d *dispatcher, up *slowToStop) {
+			abortAndWait(t, upstream.ProtocolHTTP1, answerFirst, func(d *dispatcher, up *slowToStop) {
 				if d.gate.TryAcquire() == nil {
 					t.Error("the slot was given away while the upstream worked on the request before")
 				}
-				close(up.letGo)
+				close(up.release)
 			})
 		})
 	}
@@ -59,7 +59,7 @@
 func TestSlotOfABrokenRequestComesBackOverASharedConnection(t *testing.T) {
 	for name, answerFirst := range map[string]bool{"before its answer": false, "in mid-answer": true} {
 		t.Run(name, func(t *testing.T) {
-			breakOffAndWait(t, upstream.ProtocolH2C, answerFirst, func(_ *dispatcher, up *slowToStop) { close(up.letGo) })
+			abortAndWait(t, upstream.ProtocolH2C, answerFirst, func(_ *dispatcher, up *slowToStop) { close(up.release) })
 		})
 	}
 }
@@ -68,64 +68,64 @@
 // before it has seen the reset of the one that had the slot.
 func TestSlotOfAResetRequestIsHeldForAMoment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := overTransport(1, 1, func(r *http.Request) (*http.Response, error) {
+		d := newDispatcherOver(1, 1, func(r *http.Request) (*http.Response, error) {
 			<-r.Context().Done()
 			return nil, r.Context().Err()
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		go breakOff(ctx, d)
+		go abortRequest(ctx, d)
 		synctest.Wait()
 		cancel()
 		synctest.Wait()
 		if d.gate.TryAcquire() == nil {
 			t.Error("the slot was free as soon as the request was reset")
 		}
-		if err := d.gate.Acquire(t.Context(), 1, upstreamStops); err != nil {
+		if err := d.gate.Acquire(t.Context(), 1, slotTimeout); err != nil {
 			t.Errorf("the slot was not given back: %v", err)
 		}
 	})
 }
 
-// breakOffAndWait breaks a request off, runs then once the upstream has noticed, and
+// abortAndWait breaks a request off, runs then once the upstream has noticed, and
 // waits for the slot.
-func breakOffAndWait(t *testing.T, p upstream.Protocol, answerFirst bool, then func(*dispatcher, *slowToStop)) {
+func abortAndWait(t *testing.T, p upstream.Protocol, answerFirst bool, then func(*dispatcher, *slowToStop)) {
 	up := newSlowToStop(answerFirst)
 	s := httptest.NewUnstartedServer(up)
 	s.Config = standin.NewServer(up)
 	s.Start()
 	defer s.Close()
-	d := newWorld(1, guard.Off{}).agents[0].dispatcher
+	d := newCluster(1, guard.Off{}).agents[0].dispatcher
 	d.client = upstream.NewClient(netip.MustParseAddrPort(s.Listener.Addr().String()), p)
 	d.gate.Limit(bundle.Limits{Slots: 1, Connections: 1, ColdStart: bundle.ColdStart{Slots: 1, Answers: 1}})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		breakOff(ctx, d)
+		abortRequest(ctx, d)
 	}()
 	<-up.began
 	cancel()
 	<-done
-	<-up.broken
+	<-up.aborted
 	then(d, up)
 	<-up.stopped
-	if err := d.gate.Acquire(t.Context(), 1, upstreamStops); err != nil {
+	if err := d.gate.Acquire(t.Context(), 1, slotTimeout); err != nil {
 		t.Errorf("the slot was not given back after the upstream stopped: %v", err)
 	}
 }
 
-// upstreamStops bounds the wait for a slot that is never given back.
-const upstreamStops = 10 * time.Second
+// slotTimeout bounds the wait for a slot that is never given back.
+const slotTimeout = 10 * time.Second
 
-// breakOff places a request and reads its answer until the context ends.
-func breakOff(ctx context.Context, d *dispatcher) {
-	a, err := d.place(ctx, screen(ctx, d))
+// abortRequest places a request and reads its answer until the context ends.
+func abortRequest(ctx context.Context, d *dispatcher) {
+	a, err := d.place(ctx, newReadJob(ctx, d))
 	if err != nil {
 		return
 	}
 	_, err = a.Body.Read(make([]byte, 8))
 	<-ctx.Done()
-	a.end(errors.Join(err, ctx.Err()))
+	a.finish(errors.Join(err, ctx.Err()))
 }
 
 // roundTrip is a transport made of one function.
@@ -136,20 +136,20 @@
 	return f(r)
 }
 
-// overTransport returns a dispatcher whose upstream has so many slots, all in use at
+// newDispatcherOver returns a dispatcher whose upstream has so many slots, all in use at
 // once when it is warm, and is reached by the transport.
-func overTransport(slots, cold int, f roundTrip) *dispatcher {
-	d := newWorld(1, guard.Off{}).agents[0].dispatcher
-	d.client = upstream.NewClientOver(worldAddr(0), f)
+func newDispatcherOver(slots, cold int, f roundTrip) *dispatcher {
+	d := newCluster(1, guard.Off{}).agents[0].dispatcher
+	d.client = upstream.NewClientOver(agentAddr(0), f)
 	d.gate = &upstream.Gate{}
 	d.gate.Limit(bundle.Limits{Slots: slots, Connections: slots, ColdStart: bundle.ColdStart{Slots: cold, Answers: 1}})
 	return d
 }
 
-// screen returns a job that reads, passed by a sibling.
-func screen(ctx context.Context, d *dispatcher) *job {
+// newReadJob returns a job that reads, passed by a sibling.
+func newReadJob(ctx context.Context, d *dispatcher) *job {
 	r := httptest.NewRequestWithContext(ctx, http.MethodGet, "/screen", nil)
-	return &job{r: r, body: newReplayBody(http.NoBody), passed: true, tried: memberTried(d.siblings.self)}
+	return &job{r: r, body: newReplayBody(http.NoBody), passed: true, tried: newTried(d.siblings.self)}
 }
 
 // Guards against callers that read slowly and so hide from the agent that their
@@ -157,26 +157,26 @@
 func TestSlowAnswersCountBeforeTheirCallersHaveReadThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		took := 10 * time.Millisecond
-		d := overTransport(8, 1, func(r *http.Request) (*http.Response, error) {
+		d := newDispatcherOver(8, 1, func(r *http.Request) (*http.Response, error) {
 			time.Sleep(took)
-			return response(http.StatusOK, r.Header.Get(upstream.HeaderRequest), "x"), nil
+			return newResponse(http.StatusOK, r.Header.Get(upstream.HeaderRequest), "x"), nil
 		})
-		ask := func() *answer {
-			a, err := d.place(t.Context(), screen(t.Context(), d))
+		ask := func() *response {
+			a, err := d.place(t.Context(), newReadJob(t.Context(), d))
 			if err != nil {
 				t.Fatal(err)
 			}
 			return a
 		}
 		for range 4 {
-			ask().end(nil)
+			ask().finish(nil)
 		}
 		if n := d.gate.Load().Slots; n != 8 {
 			t.Fatalf("the warm upstream may have %d pieces of work", n)
 		}
 		took = time.Second
 		for range 3 {
-			defer ask().end(nil)
+			defer ask().finish(nil)
 		}
 		if n := d.gate.Load().Slots; n != 1 {
 			t.Errorf("after three slow answers that nobody has read it may have %d pieces of work", n)
@@ -189,23 +189,23 @@
 func TestShedAnswerCountsAfterItsCallerHasLeft(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	shed := false
-	d := overTransport(8, 1, func(r *http.Request) (*http.Response, error) {
+	d := newDispatcherOver(8, 1, func(r *http.Request) (*http.Response, error) {
 		id := r.Header.Get(upstream.HeaderRequest)
 		if shed {
 			leave()
-			return response(http.StatusServiceUnavailable, id, "shed"), nil
+			return newResponse(http.StatusServiceUnavailable, id, "shed"), nil
 		}
-		return response(http.StatusOK, id, "x"), nil
+		return newResponse(http.StatusOK, id, "x"), nil
 	})
 	for range 4 {
-		a, err := d.place(ctx, screen(ctx, d))
+		a, err := d.place(ctx, newReadJob(ctx, d))
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.end(nil)
+		a.finish(nil)
 	}
 	shed = true
-	if _, err := d.place(ctx, screen(ctx, d)); err == nil {
+	if _, err := d.place(ctx, newReadJob(ctx, d)); err == nil {
 		t.Fatal("a shed request was answered")
 	}
 	if n := d.gate.Load().Slots; n != 1 {
--- a/agent/flows.go
+++ b/agent/flows.go
@@ -21,7 +21,7 @@
 func newFlowTable() *flowTable { return &flowTable{open: map[upstream.FlowID]*quic.Conn{}} }
 
 // add holds the flow until its connection ends, then calls gone.
-func (t *flowTable) add(c *quic.Conn, gone func()) upstream.FlowID {
+func (t *flowTable) add(c *quic.Conn, onClose func()) upstream.FlowID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.next++
@@ -31,7 +31,7 @@
 		t.mu.Lock()
 		delete(t.open, id)
 		t.mu.Unlock()
-		gone()
+		onClose()
 	})
 	return id
 }
@@ -42,7 +42,7 @@
 	return len(t.open)
 }
 
-func (t *flowTable) closeAll(code quic.ApplicationErrorCode, why string) {
+func (t *flowTable) closeAll(code quic.ApplicationErrorCode, reason string) {
 	t.mu.Lock()
 	var all []*quic.Conn
 	for _, c := range t.open {
@@ -50,17 +50,17 @@
 	}
 	t.mu.Unlock()
 	for _, c := range all {
-		go closeFlow(c, code, why)
+		go closeFlow(c, code, reason)
 	}
 }
 
 // closeFlow closes a flow with its reason. Before the handshake has ended QUIC
 // may not tell a caller the reason, and the flow would look broken instead of
 // given up; so a flow that is just being opened is closed a moment later.
-func closeFlow(c *quic.Conn, code quic.ApplicationErrorCode, why string) {
+func closeFlow(c *quic.Conn, code quic.ApplicationErrorCode, reason string) {
 	select {
 	case <-c.HandshakeComplete():
-		c.CloseWithError(code, why)
+		c.CloseWithError(code, reason)
 	case <-c.Context().Done():
 	}
 }
--- a/agent/front.go
+++ b/agent/front.go
@@ -21,30 +21,30 @@
 	HeaderAgent = "Pomeloway-Agent"
 )
 
-// front serves callers' requests and those that siblings pass on.
-type front struct {
+// handler serves callers' requests and those that siblings pass on.
+type handler struct {
 	*dispatcher
-	orders *orders
-	zone   bundle.ZoneID
-	// outside holds what siblings passed here until the zone goes out.
-	outside outside
+	keyedRequests *keyedRequests
+	zone          bundle.ZoneID
+	// siblingRequests holds what siblings passed here until the zone goes out.
+	siblingRequests siblingRequests
 }
 
 // flowKey is the context's key for the flow of a connection.
 type flowKey struct{}
 
 // ServeHTTP serves a caller's request.
-func (f *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	flow, _ := r.Context().Value(flowKey{}).(upstream.FlowID)
 	f.serve(w, r, flow, "")
 }
 
 // peerHandler serves requests that siblings pass on.
-func (f *front) peerHandler() http.Handler {
+func (f *handler) peerHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		passed := r.Header.Get(headerPassed)
-		w.Header().Set(headerFree, strconv.Itoa(f.room()))
-		if r.URL.Path == pathRoom && r.Header.Get(headerService) == "" {
+		w.Header().Set(headerFree, strconv.Itoa(f.freeSlots()))
+		if r.URL.Path == pathFreeSlots && r.Header.Get(headerService) == "" {
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
@@ -55,36 +55,36 @@
 			(&refusal{http.StatusMisdirectedRequest, "service", "not an agent of this service", "", OutcomeNotRun, 0}).write(w)
 			return
 		}
-		ctx, stop, ok := f.outside.enter(r.Context())
+		ctx, stop, ok := f.siblingRequests.register(r.Context())
 		defer stop()
 		if !ok {
-			refuseOutside(passed).write(w)
+			refuseZoneOut(passed).write(w)
 			return
 		}
-		f.serve(w, r.WithContext(ctx), parseFlow(r.Header), passed)
+		f.serve(w, r.WithContext(ctx), parseFlowID(r.Header), passed)
 	})
 }
 
-// room returns the slots that siblings may count on.
-func (f *front) room() int {
+// freeSlots returns the slots that siblings may count on.
+func (f *handler) freeSlots() int {
 	if f.isLeaving() {
 		return 0
 	}
 	return f.gate.Load().Free()
 }
 
-func (f *front) serve(w http.ResponseWriter, r *http.Request, flow upstream.FlowID, passed string) {
+func (f *handler) serve(w http.ResponseWriter, r *http.Request, flow upstream.FlowID, passed string) {
 	s := f.service.Load()
 	if s == nil {
 		refuseFull("no bundle is in force yet").write(w)
 		return
 	}
-	if !bound(w, r, s.Upstreams.Body) {
+	if !limitBody(w, r, s.Upstreams.Body) {
 		refuseTooLarge(OutcomeNotRun).write(w)
 		return
 	}
 	f.retries.earn()
-	ctx, stop, ok := f.deadline(r, s.Holds(r.URL.Path))
+	ctx, stop, ok := f.requestContext(r, s.Holds(r.URL.Path))
 	defer stop()
 	if !ok {
 		(&refusal{http.StatusBadRequest, "timeout", "the request's timeout is not a duration", r.Header.Get(upstream.HeaderTimeout), OutcomeNotRun, 0}).write(w)
@@ -92,49 +92,49 @@
 	}
 	j := &job{
 		r: r, body: newReplayBody(r.Body), flow: flow, passed: passed == passedWork,
-		hold: s.Holds(r.URL.Path), tried: memberTried(f.siblings.self),
+		holding: s.Holds(r.URL.Path), tried: newTried(f.siblings.self),
 	}
-	var a *answer
+	var a *response
 	var err error
 	switch key := r.Header.Get(idempotency.Header); {
 	case r.URL.Path == PathKey && r.Method == http.MethodPost && passed == "":
-		f.orders.issue(w, r)
+		f.keyedRequests.issueKey(w, r)
 		return
 	case key != "":
-		a, err = f.orders.place(ctx, j, key, passed == passedHome)
+		a, err = f.keyedRequests.place(ctx, j, key, passed == passedHome)
 	default:
 		a, err = f.place(ctx, j)
 	}
-	f.finish(ctx, w, j, a, err)
+	f.writeResponse(ctx, w, j, a, err)
 }
 
-// bound limits the request's body; it returns false if the body is known to be
+// limitBody limits the request's body; it returns false if the body is known to be
 // too long. One of unknown length is cut when it gets there.
-func bound(w http.ResponseWriter, r *http.Request, most bundle.Size) bool {
-	if most == 0 {
+func limitBody(w http.ResponseWriter, r *http.Request, limit bundle.Size) bool {
+	if limit == 0 {
 		return true
 	}
-	if r.ContentLength > int64(most) {
+	if r.ContentLength > int64(limit) {
 		return false
 	}
-	r.Body = http.MaxBytesReader(w, r.Body, int64(most))
+	r.Body = http.MaxBytesReader(w, r.Body, int64(limit))
 	return true
 }
 
-// finish writes the answer or the refusal.
-func (f *front) finish(ctx context.Context, w http.ResponseWriter, j *job, a *answer, err error) {
+// writeResponse writes the answer or the refusal.
+func (f *handler) writeResponse(ctx context.Context, w http.ResponseWriter, j *job, a *response, err error) {
 	if err != nil {
 		f.refuse(w, j, err)
 		return
 	}
-	copyAnswerHeader(w.Header(), a)
+	copyResponseHeader(w.Header(), a)
 	w.Header().Set(HeaderZone, strconv.Itoa(int(f.zone)))
 	w.Header().Set(HeaderAgent, string(f.siblings.self))
 	w.WriteHeader(a.StatusCode)
 	c := http.NewResponseController(w)
 	c.Flush()
 	err = upstream.Stream(w, c.Flush, a.Body)
-	a.end(err)
+	a.finish(err)
 	if err != nil {
 		// A cut answer must look cut: ending it cleanly would show a teacher
 		// half a letter as a whole one.
@@ -143,15 +143,15 @@
 	}
 }
 
-// copyAnswerHeader copies an answer's header but for what is of one connection
+// copyResponseHeader copies an answer's header but for what is of one connection
 // or of the fleet: an upstream must not be able to say "not run" in its name.
-func copyAnswerHeader(to http.Header, a *answer) {
+func copyResponseHeader(to http.Header, a *response) {
 	for k, v := range a.Header {
 		if k != headerFree {
 			to[k] = append([]string(nil), v...)
 		}
 	}
-	for _, h := range append(hopHeaders, upstream.HeaderRequest) {
+	for _, h := range append(hopByHopHeaders, upstream.HeaderRequest) {
 		to.Del(h)
 	}
 	if !a.relayed {
@@ -159,7 +159,7 @@
 	}
 }
 
-func (f *front) refuse(w http.ResponseWriter, j *job, err error) {
+func (f *handler) refuse(w http.ResponseWriter, j *job, err error) {
 	var r *refusal
 	if !errors.As(err, &r) {
 		r = refuseUnknown(err.Error())
@@ -167,8 +167,8 @@
 			r = refuseFull(err.Error())
 		}
 	}
-	if f.guards.Has(guard.Outcome) {
-		r = &refusal{r.status, r.kind, r.title, r.detail, OutcomeNotRun, r.retry}
+	if f.disabledGuards.Has(guard.Outcome) {
+		r = &refusal{r.status, r.kind, r.title, r.detail, OutcomeNotRun, r.retryAfter}
 	}
 	id := events.RequestRefused
 	if r.outcome == OutcomeUnknown {
@@ -181,17 +181,17 @@
 	r.write(w)
 }
 
-// deadline returns the context in which the request must be answered: what the
+// requestContext returns the context in which the request must be answered: what the
 // caller asks for within what the bundle allows. A feed has only the caller's.
-func (f *front) deadline(r *http.Request, h bundle.Holding) (context.Context, context.CancelFunc, bool) {
-	most := f.timeouts.Load().Request
+func (f *handler) requestContext(r *http.Request, h bundle.Holding) (context.Context, context.CancelFunc, bool) {
+	limit := f.timeouts.Load().Request
 	text := r.Header.Get(upstream.HeaderTimeout)
 	if text == "" {
 		if h == bundle.HoldingConnection {
 			ctx, stop := context.WithCancel(r.Context())
 			return ctx, stop, true
 		}
-		ctx, stop := context.WithTimeout(r.Context(), most)
+		ctx, stop := context.WithTimeout(r.Context(), limit)
 		return ctx, stop, true
 	}
 	d, err := time.ParseDuration(text)
@@ -199,13 +199,13 @@
 		return r.Context(), func() {}, false
 	}
 	if h != bundle.HoldingConnection {
-		d = min(d, most)
+		d = min(d, limit)
 	}
 	ctx, stop := context.WithTimeout(r.Context(), d)
 	return ctx, stop, true
 }
 
-func setTimeout(ctx context.Context, r *http.Request) {
+func setTimeoutHeader(ctx context.Context, r *http.Request) {
 	if t, ok := ctx.Deadline(); ok {
 		r.Header.Set(upstream.HeaderTimeout, time.Until(t).Round(time.Millisecond).String())
 	}
--- a/agent/front_test.go
+++ b/agent/front_test.go
@@ -21,15 +21,15 @@
 // kept whole, and sent when a slot is free.
 func TestUploadIsNotSpentOnAFullSibling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(3, guard.Off{})
-		w.calm = true
+		w := newCluster(3, guard.Off{})
+		w.noFaults = true
 		for _, f := range w.agents {
 			for range 3 {
 				f.gate.TryAcquire()
 			}
 		}
 		time.AfterFunc(time.Second, func() { w.agents[0].gate.Release(upstream.Sign{}) })
-		scan := strings.Repeat("x", 4*replayMost)
+		scan := strings.Repeat("x", 4*maxReplayBytes)
 		r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/upload", strings.NewReader(scan))
 		rec := httptest.NewRecorder()
 		w.agents[0].ServeHTTP(rec, r)
@@ -44,10 +44,10 @@
 // must not be sent again, and nothing may be when the retries are spent.
 func TestOnlyReadingIsRepeatedAfterAnUnknownOutcome(t *testing.T) {
 	for name, x := range map[string]struct {
-		method string
-		spent  bool
-		status int
-		tries  int
+		method       string
+		retriesSpent bool
+		status       int
+		tries        int
 	}{
 		"a screen":                      {http.MethodGet, false, http.StatusOK, 2},
 		"an order without a key":        {http.MethodPost, false, http.StatusBadGateway, 1},
@@ -57,14 +57,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(1, guard.Off{})
-				w.calm = true
-				dies := &dyingUp{}
-				w.agents[0].client = upstream.NewClientOver(worldAddr(0), dies)
+				w := newCluster(1, guard.Off{})
+				w.noFaults = true
+				dies := &dyingUpstream{}
+				w.agents[0].client = upstream.NewClientOver(agentAddr(0), dies)
 				for range 200 {
 					w.agents[0].retries.earn()
 				}
-				for x.spent && w.agents[0].retries.spend() {
+				for x.retriesSpent && w.agents[0].retries.spend() {
 				}
 				rec := httptest.NewRecorder()
 				w.agents[0].ServeHTTP(rec, httptest.NewRequestWithContext(t.Context(), x.method, "/screen", nil))
@@ -76,42 +76,42 @@
 	}
 }
 
-// dyingUp is the way to an upstream that dies with each request it has read.
-type dyingUp struct{ asked int }
+// dyingUpstream is the way to an upstream that dies with each request it has read.
+type dyingUpstream struct{ asked int }
 
 // RoundTrip reads the request and fails.
-func (u *dyingUp) RoundTrip(r *http.Request) (*http.Response, error) {
+func (u *dyingUpstream) RoundTrip(r *http.Request) (*http.Response, error) {
 	u.asked++
 	httptrace.ContextClientTrace(r.Context()).GotConn(httptrace.GotConnInfo{})
-	return nil, errWire
+	return nil, errConnCut
 }
 
 // A clerk picks a film in place of a scan. The service takes bodies of 64 kB: the
 // film must be refused with the reason, at once if its length is said, and its
 // upstream must not be held for broken because of it.
 func TestBodiesOverTheLimitAreRefused(t *testing.T) {
-	const most = 64 << 10
+	const maxBody = 64 << 10
 	for name, x := range map[string]struct {
-		length  int
-		said    bool
-		status  int
-		outcome Outcome
+		length   int
+		declared bool
+		status   int
+		outcome  Outcome
 	}{
-		"as long as allowed, said":   {most, true, http.StatusOK, ""},
-		"as long as allowed, unsaid": {most, false, http.StatusOK, ""},
-		"longer, said":               {most + 1, true, http.StatusRequestEntityTooLarge, OutcomeNotRun},
-		"longer, unsaid":             {most + 1, false, http.StatusRequestEntityTooLarge, OutcomeUnknown},
+		"as long as allowed, said":   {maxBody, true, http.StatusOK, ""},
+		"as long as allowed, unsaid": {maxBody, false, http.StatusOK, ""},
+		"longer, said":               {maxBody + 1, true, http.StatusRequestEntityTooLarge, OutcomeNotRun},
+		"longer, unsaid":             {maxBody + 1, false, http.StatusRequestEntityTooLarge, OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(1, guard.Off{})
-				w.calm = true
+				w := newCluster(1, guard.Off{})
+				w.noFaults = true
 				f := w.agents[0]
 				s := *f.service.Load()
-				s.Upstreams.Body = most
+				s.Upstreams.Body = maxBody
 				f.service.Store(&s)
 				r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/upload", strings.NewReader(strings.Repeat("x", x.length)))
-				if !x.said {
+				if !x.declared {
 					r.ContentLength = -1
 				}
 				rec := httptest.NewRecorder()
@@ -119,7 +119,7 @@
 				if rec.Code != x.status || Outcome(rec.Header().Get(HeaderOutcome)) != x.outcome {
 					t.Errorf("status %d, outcome %q: %.200s", rec.Code, rec.Header().Get(HeaderOutcome), rec.Body)
 				}
-				time.Sleep(upstreamStops) // a request that was broken off holds its slot for a moment
+				time.Sleep(slotTimeout) // a request that was broken off holds its slot for a moment
 				if l := f.gate.Load(); l.Slots != 3 || l.Running != 0 {
 					t.Errorf("the upstream is held for cold, or a slot is lost: %+v", l)
 				}
@@ -134,10 +134,10 @@
 // is back.
 func TestWhatWasPassedToAZoneEndsWithIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(1, guard.Off{})
-		w.calm = true
+		w := newCluster(1, guard.Off{})
+		w.noFaults = true
 		f := w.agents[0]
-		f.client = upstream.NewClientOver(worldAddr(0), endlessUp{})
+		f.client = upstream.NewClientOver(agentAddr(0), endlessUpstream{})
 		ask := func(passed string) (rec *httptest.ResponseRecorder) {
 			r := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/feed", nil)
 			r.Header.Set(headerPassed, passed)
@@ -157,7 +157,7 @@
 		synctest.Wait()
 		start := time.Now()
 		out.Store(true)
-		f.outside.follow(&out)
+		f.siblingRequests.syncZone(&out)
 		if code := <-done; code != 0 || time.Since(start) > time.Second {
 			t.Errorf("the feed ended after %v with status %d; it must be cut at once", time.Since(start), code)
 		}
@@ -167,7 +167,7 @@
 			}
 		}
 		out.Store(false)
-		f.outside.follow(&out)
+		f.siblingRequests.syncZone(&out)
 		go func() { done <- ask(passedWork).Code }()
 		synctest.Wait()
 		select {
@@ -176,18 +176,18 @@
 		default:
 		}
 		out.Store(true)
-		f.outside.follow(&out)
+		f.siblingRequests.syncZone(&out)
 		<-done
 	})
 }
 
-// endlessUp is the way to an upstream that answers and never ends.
-type endlessUp struct{}
+// endlessUpstream is the way to an upstream that answers and never ends.
+type endlessUpstream struct{}
 
 // RoundTrip returns an answer whose body ends with the request's context.
-func (endlessUp) RoundTrip(r *http.Request) (*http.Response, error) {
+func (endlessUpstream) RoundTrip(r *http.Request) (*http.Response, error) {
 	httptrace.ContextClientTrace(r.Context()).GotConn(httptrace.GotConnInfo{})
-	a := response(http.StatusOK, r.Header.Get(upstream.HeaderRequest), "")
+	a := newResponse(http.StatusOK, r.Header.Get(upstream.HeaderRequest), "")
 	in, out := io.Pipe()
 	context.AfterFunc(r.Context(), func() { out.CloseWithError(r.Context().Err()) })
 	a.Body = in
--- a/agent/handover.go
+++ b/agent/handover.go
@@ -31,55 +31,55 @@
 	passedHome = "home"
 )
 
-// pass offers the job to one more sibling, and to a second if the first was lost
+// passToSibling offers the job to one more sibling, and to a second if the first was lost
 // with a request that only reads.
-func (d *dispatcher) pass(ctx context.Context, j *job) (*answer, error) {
-	if j.passes >= mostPasses {
+func (d *dispatcher) passToSibling(ctx context.Context, j *job) (*response, error) {
+	if j.passCount >= maxPasses {
 		return nil, refuseFull("no sibling has a free slot")
 	}
 	m, ok := d.siblings.pick(j.tried)
 	if !ok {
 		return nil, refuseFull("there is no other upstream to try")
 	}
-	j.passes++
+	j.passCount++
 	j.tried[m.ID] = true
-	if j.large() && !d.hasRoom(ctx, m) {
+	if j.large() && !d.hasFreeSlot(ctx, m) {
 		return nil, refuseFull("no sibling has a free slot")
 	}
 	d.counts.Passed.Add(1)
 	d.logRequest(events.RequestPassed, j, string(m.ID))
-	a, err := d.send(ctx, j, m.Peer.String(), passedWork, "")
+	a, err := d.callPeer(ctx, j, m.Peer.String(), passedWork, "")
 	if a != nil {
-		d.siblings.hear(m.ID, a.Header)
+		d.siblings.recordFreeSlots(m.ID, a.Header)
 	}
-	got, err := d.readPassed(a, err)
+	got, err := d.readPeerResponse(a, err)
 	if got != nil || isNotRun(err) || !j.safe() || ctx.Err() != nil || !d.retries.spend() {
 		return got, err
 	}
-	if again, _ := d.pass(ctx, j); again != nil {
+	if again, _ := d.passToSibling(ctx, j); again != nil {
 		return again, nil
 	}
 	return nil, err
 }
 
 // large reports whether the job's body is too long to be sent a second time.
-func (j *job) large() bool { return j.r.ContentLength < 0 || j.r.ContentLength > replayMost }
+func (j *job) large() bool { return j.r.ContentLength < 0 || j.r.ContentLength > maxReplayBytes }
 
-// pathRoom is where a sibling says how many slots are free, in headerFree.
-const pathRoom = "/room"
+// pathFreeSlots is where a sibling says how many slots are free, in headerFree.
+const pathFreeSlots = "/room"
 
-// roomTimeout bounds the question, which is worth less than a slot.
-const roomTimeout = time.Second
+// freeSlotsTimeout bounds the question, which is worth less than a slot.
+const freeSlotsTimeout = time.Second
 
-// hasRoom asks a sibling whether it has a free slot.
+// hasFreeSlot asks a sibling whether it has a free slot.
 //
 // A sibling that refuses an upload has read some of it by then, and the upload
 // can't be offered to anybody else; it shows as uploads refused while slots are
 // free. So a long one is sent only to a sibling that says to have room.
-func (d *dispatcher) hasRoom(ctx context.Context, m fleet.Member) bool {
-	ctx, stop := context.WithTimeout(ctx, roomTimeout)
+func (d *dispatcher) hasFreeSlot(ctx context.Context, m fleet.Member) bool {
+	ctx, stop := context.WithTimeout(ctx, freeSlotsTimeout)
 	defer stop()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "https://"+m.Peer.String()+pathRoom, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "https://"+m.Peer.String()+pathFreeSlots, nil)
 	if err != nil {
 		return false
 	}
@@ -89,18 +89,18 @@
 		return false
 	}
 	defer a.Body.Close()
-	d.siblings.hear(m.ID, a.Header)
+	d.siblings.recordFreeSlots(m.ID, a.Header)
 	n, err := strconv.Atoi(a.Header.Get(headerFree))
 	return err == nil && n > 0
 }
 
-// send makes the request of another agent.
-func (d *dispatcher) send(ctx context.Context, j *job, peer, passed, key string) (*http.Response, error) {
+// callPeer makes the request of another agent.
+func (d *dispatcher) callPeer(ctx context.Context, j *job, peer, passed, key string) (*http.Response, error) {
 	body, ok := j.body.reader()
 	if !ok {
 		return nil, refuseFull("too much of the request was read to send it again")
 	}
-	r := newOutgoing(ctx, j.r, body)
+	r := newForwardedRequest(ctx, j.r, body)
 	r.URL.Scheme, r.URL.Host = "https", peer
 	r.Header.Set(headerPassed, passed)
 	r.Header.Set(headerFlow, strconv.FormatUint(uint64(j.flow), 16))
@@ -109,7 +109,7 @@
 	if key != "" {
 		r.Header.Set(idempotency.Header, key)
 	}
-	setTimeout(ctx, r)
+	setTimeoutHeader(ctx, r)
 	a, err := d.peers.RoundTrip(r)
 	if err == nil {
 		return a, nil
@@ -140,8 +140,8 @@
 	return false
 }
 
-// readPassed tells a peer's refusal from its upstream's answer.
-func (d *dispatcher) readPassed(a *http.Response, err error) (*answer, error) {
+// readPeerResponse tells a peer's refusal from its upstream's answer.
+func (d *dispatcher) readPeerResponse(a *http.Response, err error) (*response, error) {
 	switch {
 	case isNotRun(err):
 		return nil, err
@@ -151,18 +151,18 @@
 	switch Outcome(a.Header.Get(HeaderOutcome)) {
 	case OutcomeNotRun:
 		a.Body.Close()
-		return nil, &refusal{a.StatusCode, "full", "no upstream has a free slot", "a sibling refused", OutcomeNotRun, retrySoon}
+		return nil, &refusal{a.StatusCode, "full", "no upstream has a free slot", "a sibling refused", OutcomeNotRun, fullRetryDelay}
 	case OutcomeUnknown:
 		a.Body.Close()
 		return nil, refuseUnknown("the sibling that had it does not know")
 	}
 	d.running.Add(1)
-	return &answer{Response: a, end: func(error) {
+	return &response{Response: a, finish: func(error) {
 		d.running.Add(-1)
 		a.Body.Close()
 	}}, nil
 }
 
-func memberTried(id fleet.MemberID) map[fleet.MemberID]bool {
+func newTried(id fleet.MemberID) map[fleet.MemberID]bool {
 	return map[fleet.MemberID]bool{id: true}
 }
--- a/agent/history_test.go
+++ b/agent/history_test.go
@@ -21,8 +21,8 @@
 	"pomeloway.example/pomeloway/idempotency"
 )
 
-// told is what a caller heard of one sending of its order.
-type told struct {
+// reply is what a caller heard of one sending of its order.
+type reply struct {
 	outcome Outcome // empty for an answer
 	body    string
 }
@@ -40,7 +40,7 @@
 			}
 			return nil
 		}
-		switch o := output.(told); {
+		switch o := output.(reply); {
 		case o.outcome == "":
 			return []any{1}
 		case o.outcome == OutcomeNotRun && ran == 0:
@@ -57,23 +57,23 @@
 }
 
 // send places the order at an agent and returns what the caller heard.
-func (w *world) send(ctx context.Context, i int, order, key string) told {
+func (w *cluster) send(ctx context.Context, i int, order, key string) reply {
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "/order", strings.NewReader(order))
 	r.Header.Set(idempotency.Header, key)
 	rec := httptest.NewRecorder()
 	w.agent(i).ServeHTTP(rec, r)
-	return told{Outcome(rec.Header().Get(HeaderOutcome)), rec.Body.String()}
+	return reply{Outcome(rec.Header().Get(HeaderOutcome)), rec.Body.String()}
 }
 
-func (w *world) key(i int) string {
+func (w *cluster) key(i int) string {
 	f := w.agent(i)
-	o := f.orders
-	return o.sealer.Load().Seal(idempotency.Key{Home: o.home, Life: o.life, Service: 1, Expires: time.Now().Add(time.Minute), Nonce: idempotency.NewNonce()})
+	o := f.keyedRequests
+	return o.sealer.Load().Seal(idempotency.Key{Home: o.home, Life: o.incarnation, Service: 1, Expires: time.Now().Add(time.Minute), Nonce: idempotency.NewNonce()})
 }
 
-// play runs callers and faults, and returns why the history can't be, if so.
-func play(ctx context.Context, seed uint64, off guard.Off) error {
-	w := newWorld(seed, off)
+// simulate runs callers and faults, and returns why the history can't be, if so.
+func simulate(ctx context.Context, seed uint64, disabledGuards guard.Off) error {
+	w := newCluster(seed, disabledGuards)
 	start := time.Now()
 	var mu sync.Mutex
 	var wrong []error
@@ -81,7 +81,7 @@
 	for c := range 4 {
 		g.Go(func() {
 			for n := range 3 {
-				if err := w.order(ctx, fmt.Sprintf("order-%d-%d", c, n), start); err != nil {
+				if err := w.placeAndCheck(ctx, fmt.Sprintf("order-%d-%d", c, n), start); err != nil {
 					mu.Lock()
 					wrong = append(wrong, err)
 					mu.Unlock()
@@ -89,57 +89,57 @@
 			}
 		})
 	}
-	g.Go(func() { w.faults() })
+	g.Go(func() { w.injectFaults() })
 	g.Wait()
 	return errors.Join(wrong...)
 }
 
-// faults restarts and drains agents while callers order.
-func (w *world) faults() {
+// injectFaults restarts and drains agents while callers order.
+func (w *cluster) injectFaults() {
 	for range 4 {
-		time.Sleep(time.Duration(w.dice(60)) * time.Millisecond)
-		i := w.dice(worldAgents)
-		if w.dice(2) == 0 {
+		time.Sleep(time.Duration(w.randomN(60)) * time.Millisecond)
+		i := w.randomN(clusterAgents)
+		if w.randomN(2) == 0 {
 			w.restart(i)
 			continue
 		}
 		f := w.agent(i)
 		f.leaving.Store(!f.leaving.Load())
-		w.introduce()
+		w.shareMembers()
 	}
 }
 
-// order places one order, some of its sendings at once, until it is answered or
+// placeAndCheck places one placeAndCheck, some of its sendings at once, until it is answered or
 // enough were tried, and checks the history of what was told.
-func (w *world) order(ctx context.Context, id string, start time.Time) error {
-	key := w.key(w.dice(worldAgents))
+func (w *cluster) placeAndCheck(ctx context.Context, id string, start time.Time) error {
+	key := w.key(w.randomN(clusterAgents))
 	var mu sync.Mutex
 	var ops []porcupine.Operation
 	var wrong error
-	note := func(call time.Duration, out any) {
+	record := func(call time.Duration, out any) {
 		mu.Lock()
 		defer mu.Unlock()
 		ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: id, Call: int64(call), Output: out, Return: int64(time.Since(start))})
-		if o, ok := out.(told); ok && o.outcome == "" && o.body != id {
+		if o, ok := out.(reply); ok && o.outcome == "" && o.body != id {
 			wrong = fmt.Errorf("%s got the answer of %q", id, o.body)
 		}
 	}
 	for range 3 {
 		var g sync.WaitGroup
-		for range 1 + w.dice(2) {
-			i := w.dice(worldAgents)
+		for range 1 + w.randomN(2) {
+			i := w.randomN(clusterAgents)
 			g.Go(func() {
 				call := time.Since(start)
-				note(call, w.send(ctx, i, id, key))
+				record(call, w.send(ctx, i, id, key))
 			})
 		}
 		g.Wait()
-		time.Sleep(time.Duration(1+w.dice(20)) * time.Millisecond)
+		time.Sleep(time.Duration(1+w.randomN(20)) * time.Millisecond)
 	}
 	w.mu.Lock()
 	runs := w.runs[id]
 	w.mu.Unlock()
-	note(time.Since(start), runs)
+	record(time.Since(start), runs)
 	if wrong != nil {
 		return wrong
 	}
@@ -170,7 +170,7 @@
 func TestHistoriesOfOrdersAreExplained(t *testing.T) {
 	for seed := range histories(t) {
 		synctest.Test(t, func(t *testing.T) {
-			if err := play(t.Context(), seed, guard.Off{}); err != nil {
+			if err := simulate(t.Context(), seed, guard.Off{}); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 		})
@@ -188,16 +188,16 @@
 		guard.Outcome: "what is not known is told as not run",
 	} {
 		t.Run(string(name), func(t *testing.T) {
-			const most = 300
-			for seed := range uint64(most) {
+			const maxRuns = 300
+			for seed := range uint64(maxRuns) {
 				var err error
-				synctest.Test(t, func(t *testing.T) { err = play(t.Context(), seed, guard.Without(name)) })
+				synctest.Test(t, func(t *testing.T) { err = simulate(t.Context(), seed, guard.Without(name)) })
 				if err != nil {
 					t.Logf("%s: found in run %d", what, seed+1)
 					return
 				}
 			}
-			t.Errorf("%s: not found in %d runs", what, most)
+			t.Errorf("%s: not found in %d runs", what, maxRuns)
 		})
 	}
 }
--- a/agent/leave.go
+++ b/agent/leave.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// spread is how long after it said so a leaving agent still serves new
+	// goAwayDelay is how long after it said so a leaving agent still serves new
 	// requests of its old flows by passing them on; then callers are told to
 	// open new flows.
-	spread = 2 * time.Second
-	// keyPoll is how often the end of the journal's duty is looked at.
-	keyPoll     = 200 * time.Millisecond
-	healthEvery = time.Second
-	// unguarded is how long an agent without its drain goes on before it drops
+	goAwayDelay = 2 * time.Second
+	// journalPollInterval is how often the end of the journal's duty is looked at.
+	journalPollInterval = 200 * time.Millisecond
+	healthInterval      = time.Second
+	// noDrainDelay is how long an agent without its drain goes on before it drops
 	// everything, in a trial of the report.
-	unguarded = 5 * time.Second
+	noDrainDelay = 5 * time.Second
 )
 
 // leave waits for the stop and leaves: no new flows, no new work for the
@@ -47,29 +47,29 @@
 	}()
 	a.Log.Add(events.Draining, slog.String("program", "agent"), slog.Int("flows", a.flows.len()), slog.Int64("running", a.disp.running.Load()))
 	a.stopping.Store(true)
-	if a.disp.guards.Has(guard.Drain) {
-		clock.Sleep(ctx, unguarded)
+	if a.disp.disabledGuards.Has(guard.Drain) {
+		clock.Sleep(ctx, noDrainDelay)
 		return nil
 	}
 	a.disp.leaving.Store(true)
 	a.SetReady(false)
 	a.Node.SetPhase(fleet.PhaseLeaving)
-	clock.Sleep(ctx, spread)
-	end, stop := context.WithTimeout(ctx, a.opts.Drain)
+	clock.Sleep(ctx, goAwayDelay)
+	drainCtx, stop := context.WithTimeout(ctx, a.opts.Drain)
 	defer stop()
-	a.h3.Shutdown(end) // GOAWAY, then waits for the running requests
-	a.stayHome(end)
+	a.h3.Shutdown(drainCtx) // GOAWAY, then waits for the running requests
+	a.waitForKeys(drainCtx)
 	a.Node.Leave()
 	return nil
 }
 
-// stayHome goes on answering for the idempotency keys that were issued here.
+// waitForKeys goes on answering for the idempotency keys that were issued here.
 //
 // If the home went at once, a retry of an order whose answer was lost would
 // find nobody who knows of it, and end as unknown for a planned stop.
-func (a *Agent) stayHome(ctx context.Context) {
-	for time.Now().Before(a.front.orders.journal.Until()) || a.disp.running.Load() > 0 {
-		if !clock.Sleep(ctx, keyPoll) {
+func (a *Agent) waitForKeys(ctx context.Context) {
+	for time.Now().Before(a.handler.keyedRequests.journal.Until()) || a.disp.running.Load() > 0 {
+		if !clock.Sleep(ctx, journalPollInterval) {
 			return
 		}
 	}
@@ -83,22 +83,22 @@
 		<-ctx.Done()
 		return nil
 	}
-	for clock.Sleep(ctx, healthEvery) {
-		limit, stop := context.WithTimeout(ctx, healthEvery)
+	for clock.Sleep(ctx, healthInterval) {
+		limit, stop := context.WithTimeout(ctx, healthInterval)
 		n, err := a.disp.client.Health(limit, a.opts.Health)
 		stop()
-		a.setDrains(err == nil && n == http.StatusServiceUnavailable)
+		a.setUpstreamDraining(err == nil && n == http.StatusServiceUnavailable)
 	}
 	return nil
 }
 
-func (a *Agent) setDrains(drains bool) {
+func (a *Agent) setUpstreamDraining(draining bool) {
 	phase := a.Node.Self().Phase
 	switch {
-	case drains && phase == fleet.PhaseReady:
+	case draining && phase == fleet.PhaseReady:
 		a.disp.leaving.Store(true)
 		a.Node.SetPhase(fleet.PhaseLeaving)
-	case !drains && phase == fleet.PhaseLeaving && !a.stopping.Load():
+	case !draining && phase == fleet.PhaseLeaving && !a.stopping.Load():
 		a.disp.leaving.Store(false)
 		a.Node.SetPhase(fleet.PhaseReady)
 	}
--- a/agent/openings.go
+++ b/agent/openings.go
@@ -14,68 +14,68 @@
 	"time"
 )
 
-// place is where an opening went.
-type place uint8
+// decision is where an opening went.
+type decision uint8
 
 const (
-	placeUnknown place = iota
-	placeHere
-	placeNext
-	// placeBack: the agent that passed it on is less busy, and has it back.
-	placeBack
-	placeRefused
+	decisionNone decision = iota
+	decisionTaken
+	decisionPassed
+	// decisionReturned: the agent that passed it on is less busy, and has it back.
+	decisionReturned
+	decisionRefused
 )
 
-// where is a place and the agent that it went to.
-type where struct {
-	place place
-	to    netip.AddrPort
+// placement is a place and the agent that it went to.
+type placement struct {
+	decision decision
+	target   netip.AddrPort
 }
 
 const (
-	openingLife  = 10 * time.Second
-	openingsMost = 32_768
+	openingPeriod = 10 * time.Second
+	maxOpenings   = 32_768
 )
 
-// opening names an opening by its first connection ID and its caller.
-type opening struct {
-	flow   uint64
-	caller netip.AddrPort
+// openingKey names an openingKey by its first connection ID and its caller.
+type openingKey struct {
+	connIDHash uint64
+	caller     netip.AddrPort
 }
 
-type openings struct {
-	mu         sync.Mutex
-	young, old map[opening]where
-	turned     time.Time
+type openingTable struct {
+	mu                sync.Mutex
+	current, previous map[openingKey]placement
+	rotatedAt         time.Time
 }
 
-func (o *openings) get(k opening, now time.Time) where {
+func (o *openingTable) get(k openingKey, now time.Time) placement {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.turn(now)
-	if w, ok := o.young[k]; ok {
+	o.rotate(now)
+	if w, ok := o.current[k]; ok {
 		return w
 	}
-	return o.old[k]
+	return o.previous[k]
 }
 
-func (o *openings) put(k opening, w where, now time.Time) {
+func (o *openingTable) put(k openingKey, w placement, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.turn(now)
-	if o.young == nil {
-		o.young = map[opening]where{}
+	o.rotate(now)
+	if o.current == nil {
+		o.current = map[openingKey]placement{}
 	}
-	o.young[k] = w
+	o.current[k] = w
 }
 
-func (o *openings) turn(now time.Time) {
-	if now.Sub(o.turned) < openingLife && len(o.young) < openingsMost {
+func (o *openingTable) rotate(now time.Time) {
+	if now.Sub(o.rotatedAt) < openingPeriod && len(o.current) < maxOpenings {
 		return
 	}
-	o.old = o.young
-	if now.Sub(o.turned) >= 2*openingLife {
-		o.old = nil // both generations are from before a long quiet time
+	o.previous = o.current
+	if now.Sub(o.rotatedAt) >= 2*openingPeriod {
+		o.previous = nil // both generations are from before a long quiet time
 	}
-	o.young, o.turned = nil, now
+	o.current, o.rotatedAt = nil, now
 }
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -27,27 +27,27 @@
 	Expires time.Time `json:"expires"`
 }
 
-// orders runs keyed requests at most once.
-type orders struct {
-	d       *dispatcher
-	sealer  atomic.Pointer[idempotency.Sealer]
-	journal idempotency.Journal
-	home    netip.AddrPort
-	life    fleet.Incarnation
-	state   *fleet.State
+// keyedRequests runs keyed requests at most once.
+type keyedRequests struct {
+	d           *dispatcher
+	sealer      atomic.Pointer[idempotency.Sealer]
+	journal     idempotency.Journal
+	home        netip.AddrPort
+	incarnation fleet.Incarnation
+	state       *fleet.State
 	// zone is the number of the agent's availability zone, for callers.
 	zone string
 }
 
-// issue gives the caller a key whose home is this agent.
-func (o *orders) issue(w http.ResponseWriter, r *http.Request) {
+// issueKey gives the caller a key whose home is this agent.
+func (o *keyedRequests) issueKey(w http.ResponseWriter, r *http.Request) {
 	if o.d.leaving.Load() {
 		refuseFull("this agent leaves; open a new flow for a key").write(w)
 		return
 	}
 	t := time.Now().Add(o.d.timeouts.Load().OrderKey)
 	o.journal.Issued(t)
-	k := idempotency.Key{Home: o.home, Life: o.life, Service: o.d.service.Load().ID, Expires: t, Nonce: idempotency.NewNonce()}
+	k := idempotency.Key{Home: o.home, Life: o.incarnation, Service: o.d.service.Load().ID, Expires: t, Nonce: idempotency.NewNonce()}
 	w.Header().Set(HeaderZone, o.zone)
 	w.Header().Set(HeaderAgent, string(o.d.siblings.self))
 	w.Header().Set("Content-Type", "application/json")
@@ -56,7 +56,7 @@
 }
 
 // place runs the keyed job here if this is the key's home, else sends it there.
-func (o *orders) place(ctx context.Context, j *job, text string, atHome bool) (*answer, error) {
+func (o *keyedRequests) place(ctx context.Context, j *job, text string, fromSibling bool) (*response, error) {
 	k, err := o.sealer.Load().Open(text, o.d.service.Load().ID, time.Now())
 	switch {
 	case errors.Is(err, idempotency.ErrExpired):
@@ -66,24 +66,24 @@
 	case err != nil:
 		return nil, refuseKey(http.StatusBadRequest, "key-invalid", "POST "+PathKey+" gives one")
 	}
-	if k.Home == o.home && (k.Life == o.life || o.d.guards.Has(guard.Life)) {
+	if k.Home == o.home && (k.Life == o.incarnation || o.d.disabledGuards.Has(guard.Life)) {
 		return o.atHome(ctx, j, k)
 	}
-	if o.d.guards.Has(guard.Home) {
+	if o.d.disabledGuards.Has(guard.Home) {
 		return o.d.place(ctx, j)
 	}
-	if atHome || !homeAlive(o.state, k.Home.String(), k.Life) {
+	if fromSibling || !homeAlive(o.state, k.Home.String(), k.Life) {
 		// The home's next life has none of its journal. Running the request
 		// anew here could be the second time; it shows as a doubled order.
 		return nil, refuseUnknown("the agent that issued the key is gone")
 	}
-	return o.toHome(ctx, j, k, text)
+	return o.sendToHome(ctx, j, k, text)
 }
 
-func (o *orders) toHome(ctx context.Context, j *job, k idempotency.Key, text string) (*answer, error) {
+func (o *keyedRequests) sendToHome(ctx context.Context, j *job, k idempotency.Key, text string) (*response, error) {
 	o.d.counts.ToHome.Add(1)
 	o.d.logRequest(events.RequestToHome, j, k.Home.String())
-	a, err := o.d.send(ctx, j, k.Home.String(), passedHome, text)
+	a, err := o.d.callPeer(ctx, j, k.Home.String(), passedHome, text)
 	if isNotRun(err) {
 		// Not run by this sending; an earlier one may have reached the home.
 		return nil, refuseUnknown("the agent that issued the key can't be reached")
@@ -91,59 +91,59 @@
 	if err != nil {
 		return nil, refuseUnknown("the agent that issued the key: " + err.Error())
 	}
-	return o.d.relay(a), nil
+	return o.d.relayResponse(a), nil
 }
 
-// relay returns a home's answer as it is, its refusals too.
-func (d *dispatcher) relay(a *http.Response) *answer {
+// relayResponse returns a home's answer as it is, its refusals too.
+func (d *dispatcher) relayResponse(a *http.Response) *response {
 	d.running.Add(1)
-	return &answer{Response: a, relayed: true, end: func(error) {
+	return &response{Response: a, relayed: true, finish: func(error) {
 		d.running.Add(-1)
 		a.Body.Close()
 	}}
 }
 
 // detached returns a context with the deadline, but not the cancellation.
-func detached(ctx context.Context, most time.Duration) (context.Context, context.CancelFunc) {
+func detached(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	t, ok := ctx.Deadline()
 	if !ok {
-		t = time.Now().Add(most)
+		t = time.Now().Add(limit)
 	}
 	return context.WithDeadline(context.WithoutCancel(ctx), t)
 }
 
-func (o *orders) atHome(ctx context.Context, j *job, k idempotency.Key) (*answer, error) {
+func (o *keyedRequests) atHome(ctx context.Context, j *job, k idempotency.Key) (*response, error) {
 	// The order runs to its end within its time even if the caller goes away,
 	// since the caller will ask again under the same key.
 	ctx, stop := detached(ctx, o.d.timeouts.Load().Request)
 	u, fresh, err := o.journal.Begin(k, j.r.Method+" "+j.r.URL.RequestURI())
-	var a *answer
+	var a *response
 	switch {
 	case errors.Is(err, idempotency.ErrOtherUse):
 		err = refuseKey(http.StatusUnprocessableEntity, "key-reused", err.Error())
 	case err != nil:
 		err = refuseFull(err.Error())
 	case fresh:
-		a, err = o.first(ctx, j, k, u)
-	case o.d.guards.Has(guard.Journal):
+		a, err = o.runFirst(ctx, j, k, u)
+	case o.d.disabledGuards.Has(guard.Journal):
 		a, err = o.d.place(ctx, j)
 	default:
-		a, err = o.repeat(ctx, j, u)
+		a, err = o.replay(ctx, j, u)
 	}
 	if err != nil {
 		stop()
 		return nil, err
 	}
-	end := a.end
-	a.end = func(err error) {
-		end(err)
+	finish := a.finish
+	a.finish = func(err error) {
+		finish(err)
 		stop()
 	}
 	return a, nil
 }
 
-// first runs the request and records what comes of it.
-func (o *orders) first(ctx context.Context, j *job, k idempotency.Key, u *idempotency.Use) (*answer, error) {
+// runFirst runs the request and records what comes of it.
+func (o *keyedRequests) runFirst(ctx context.Context, j *job, k idempotency.Key, u *idempotency.Use) (*response, error) {
 	a, err := o.d.place(ctx, j)
 	if err != nil {
 		res := idempotency.ResultUnknown
@@ -155,7 +155,7 @@
 	}
 	rec, err := record(a)
 	if err != nil {
-		a.end(err)
+		a.finish(err)
 		o.journal.Finish(k, u, idempotency.ResultUnknown, nil)
 		return nil, refuseUnknown("the upstream's answer was cut: " + err.Error())
 	}
@@ -165,7 +165,7 @@
 
 // record reads the answer to its end if it is short, and returns it in the
 // form that is kept; the answer's body can still be read after it.
-func record(a *answer) (*idempotency.Recorded, error) {
+func record(a *response) (*idempotency.Recorded, error) {
 	b, err := io.ReadAll(io.LimitReader(a.Body, idempotency.MaxRecorded+1))
 	if err != nil {
 		return nil, err
@@ -184,8 +184,8 @@
 // HeaderReplayed marks an answer that was recorded earlier.
 const HeaderReplayed = "Idempotency-Replayed"
 
-// repeat answers a second use of a key with what came of the first.
-func (o *orders) repeat(ctx context.Context, j *job, u *idempotency.Use) (*answer, error) {
+// replay answers a second use of a key with what came of the first.
+func (o *keyedRequests) replay(ctx context.Context, j *job, u *idempotency.Use) (*response, error) {
 	res, rec, err := o.journal.Wait(ctx, u)
 	switch {
 	case err != nil:
@@ -202,5 +202,5 @@
 	h := rec.Header.Clone()
 	h.Set(HeaderReplayed, "true")
 	r := &http.Response{StatusCode: rec.Status, Header: h, Body: io.NopCloser(bytes.NewReader(rec.Body))}
-	return &answer{Response: r, end: func(error) {}}, nil
+	return &response{Response: r, finish: func(error) {}}, nil
 }
--- a/agent/paths.go
+++ b/agent/paths.go
@@ -18,49 +18,49 @@
 	"pomeloway.example/pomeloway/fleet"
 )
 
-// pathDead is how long after it was last heard a balancer is no longer used: one
+// balancerTimeout is how long after it was last heard a balancer is no longer used: one
 // heartbeat and a half. A feed's datagrams are lost for so long when it dies, which
 // QUIC repeats, and no caller has to speak first. A heartbeat that is lost costs
 // little: the flows go by another balancer until the next.
-const pathDead = 800 * time.Millisecond
+const balancerTimeout = 800 * time.Millisecond
 
-// pathSlots is how many groups of callers there are; each moves as one.
-const pathSlots = 512
+// pathBuckets is how many groups of callers there are; each moves as one.
+const pathBuckets = 512
 
 // paths are the balancers that an agent may send answers through.
 type paths struct {
-	mu    sync.Mutex
-	heard map[netip.AddrPort]time.Time
-	zones map[netip.AddrPort]bundle.ZoneID
-	// live are those heard lately, in a fixed order; spare are the rest that
+	mu        sync.Mutex
+	lastHeard map[netip.AddrPort]time.Time
+	zones     map[netip.AddrPort]bundle.ZoneID
+	// live are those heard lately, in a fixed order; fallback are the rest that
 	// the fleet's view names, for an agent nobody has spoken to yet.
-	live, spare []netip.AddrPort
-	// slots are the balancers by the caller's hash; all are valid or none.
-	slots [pathSlots]netip.AddrPort
-	// moved is told of each change of live.
-	moved func(live []netip.AddrPort)
+	live, fallback []netip.AddrPort
+	// buckets are the balancers by the caller's hash; all are valid or none.
+	buckets [pathBuckets]netip.AddrPort
+	// onChange is told of each change of live.
+	onChange func(live []netip.AddrPort)
 }
 
-// beat notes a heartbeat from a balancer.
-func (p *paths) beat(a netip.AddrPort, z bundle.ZoneID, now time.Time) {
+// recordHeartbeat notes a heartbeat from a balancer.
+func (p *paths) recordHeartbeat(a netip.AddrPort, z bundle.ZoneID, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.heard == nil {
-		p.heard, p.zones = map[netip.AddrPort]time.Time{}, map[netip.AddrPort]bundle.ZoneID{}
+	if p.lastHeard == nil {
+		p.lastHeard, p.zones = map[netip.AddrPort]time.Time{}, map[netip.AddrPort]bundle.ZoneID{}
 	}
-	_, known := p.heard[a]
-	p.heard[a], p.zones[a] = now, z
+	_, known := p.lastHeard[a]
+	p.lastHeard[a], p.zones[a] = now, z
 	if !known {
-		p.rebuild(now)
+		p.refreshLive(now)
 	}
 }
 
-// review drops the balancers that fell silent or whose zone is out, and takes
+// updateMembers drops the balancers that fell silent or whose zone is out, and takes
 // the spare ones from the members.
-func (p *paths) review(ms []fleet.Member, b *bundle.Bundle, now time.Time) {
+func (p *paths) updateMembers(ms []fleet.Member, b *bundle.Bundle, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.spare = nil
+	p.fallback = nil
 	leaving := map[netip.AddrPort]bool{}
 	for _, m := range ms {
 		if m.Role != fleet.RoleBalancer {
@@ -70,16 +70,16 @@
 			leaving[m.Link] = true
 			continue
 		}
-		p.spare = append(p.spare, m.Link)
+		p.fallback = append(p.fallback, m.Link)
 	}
-	for a := range p.heard {
+	for a := range p.lastHeard {
 		if leaving[a] || b.ZoneOut(p.zones[a]) {
-			delete(p.heard, a)
+			delete(p.lastHeard, a)
 		}
 	}
-	p.rebuild(now)
+	p.refreshLive(now)
 	if len(p.live) == 0 {
-		p.assign() // by the spare, which are new
+		p.assignBuckets() // by the spare, which are new
 	}
 }
 
@@ -87,15 +87,15 @@
 func (p *paths) expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.rebuild(now)
+	p.refreshLive(now)
 }
 
-// rebuild makes the list anew; p.mu is held.
-func (p *paths) rebuild(now time.Time) {
+// refreshLive makes the list anew; p.mu is held.
+func (p *paths) refreshLive(now time.Time) {
 	var live []netip.AddrPort
-	for a, t := range p.heard {
-		if now.Sub(t) > pathDead {
-			delete(p.heard, a)
+	for a, t := range p.lastHeard {
+		if now.Sub(t) > balancerTimeout {
+			delete(p.lastHeard, a)
 			continue
 		}
 		live = append(live, a)
@@ -106,36 +106,36 @@
 	if !changed {
 		return
 	}
-	p.assign()
-	if p.moved != nil {
-		p.moved(live)
+	p.assignBuckets()
+	if p.onChange != nil {
+		p.onChange(live)
 	}
 }
 
-// assign gives each slot its balancer; p.mu is held.
+// assignBuckets gives each slot its balancer; p.mu is held.
 //
 // By the remainder of a hash over the list, every change would move nearly all
 // flows, and balancers that are replaced one after another in the list's order
 // would keep the dead one at the same place: the same callers hear nothing for as
 // long as that goes on. It shows as openings that never succeed from some ports.
-func (p *paths) assign() {
+func (p *paths) assignBuckets() {
 	from := p.live
 	if len(from) == 0 {
-		from = p.spare
+		from = p.fallback
 	}
 	hashes := make([]uint64, len(from))
 	for i, a := range from {
 		b, _ := a.MarshalBinary() // has no error
 		hashes[i] = fleet.HashOf(b)
 	}
-	for slot := range p.slots {
+	for bucket := range p.buckets {
 		best, score := netip.AddrPort{}, uint64(0)
 		for i, h := range hashes {
-			if x := fleet.Mix(uint64(slot), h); x >= score {
+			if x := fleet.Mix(uint64(bucket), h); x >= score {
 				best, score = from[i], x
 			}
 		}
-		p.slots[slot] = best
+		p.buckets[bucket] = best
 	}
 }
 
@@ -146,6 +146,6 @@
 	k := uint64(b[0])<<40 | uint64(b[1])<<32 | uint64(b[2])<<24 | uint64(b[3])<<16 | uint64(caller.Port())
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a := p.slots[fleet.Mix(k, 0)%pathSlots]
+	a := p.buckets[fleet.Mix(k, 0)%pathBuckets]
 	return a, a.IsValid()
 }
--- a/agent/problem.go
+++ b/agent/problem.go
@@ -33,23 +33,23 @@
 
 // refusal is an error that a caller gets as a problem.
 type refusal struct {
-	status  int
-	kind    string
-	title   string
-	detail  string
-	outcome Outcome
-	retry   time.Duration
+	status     int
+	kind       string
+	title      string
+	detail     string
+	outcome    Outcome
+	retryAfter time.Duration
 }
 
 // Error returns the title and the detail.
 func (r *refusal) Error() string { return r.title + ": " + r.detail }
 
-// retrySoon is when a refused caller should come back: about the time in which
+// fullRetryDelay is when a refused caller should come back: about the time in which
 // a slot is freed.
-const retrySoon = time.Second
+const fullRetryDelay = time.Second
 
 func refuseFull(detail string) *refusal {
-	return &refusal{http.StatusServiceUnavailable, "full", "no upstream has a free slot", detail, OutcomeNotRun, retrySoon}
+	return &refusal{http.StatusServiceUnavailable, "full", "no upstream has a free slot", detail, OutcomeNotRun, fullRetryDelay}
 }
 
 func refuseUnknown(detail string) *refusal {
@@ -81,8 +81,8 @@
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
 	h.Set(HeaderOutcome, string(r.outcome))
-	if r.retry > 0 {
-		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(r.retry.Seconds()))))
+	if r.retryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(r.retryAfter.Seconds()))))
 	}
 	w.WriteHeader(r.status)
 	json.NewEncoder(w).Encode(Problem{
--- a/agent/siblings.go
+++ b/agent/siblings.go
@@ -14,8 +14,8 @@
 // headerFree carries a sibling's free slots in each of its answers.
 const headerFree = "Pomeloway-Free"
 
-// freshFor is how long a sibling's count of free slots is worth anything.
-const freshFor = time.Second
+// freeSlotsTTL is how long a sibling's count of free slots is worth anything.
+const freeSlotsTTL = time.Second
 
 // siblings are the agents of the same service and what they last said of their
 // free slots.
@@ -23,12 +23,12 @@
 	service bundle.ServiceID
 	self    fleet.MemberID
 
-	mu   sync.Mutex
-	all  []fleet.Member
-	free map[fleet.MemberID]free
+	mu        sync.Mutex
+	ready     []fleet.Member
+	freeSlots map[fleet.MemberID]freeSlots
 }
 
-type free struct {
+type freeSlots struct {
 	slots int
 	at    time.Time
 }
@@ -37,27 +37,27 @@
 func (s *siblings) set(ms []fleet.Member, doubts map[fleet.MemberID]bool, b *bundle.Bundle) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all = nil
+	s.ready = nil
 	for _, m := range ms {
 		ok := m.Role == fleet.RoleAgent && m.Service == s.service && m.Phase == fleet.PhaseReady
 		if ok && m.ID != s.self && !doubts[m.ID] && !b.ZoneOut(m.Zone) {
-			s.all = append(s.all, m)
+			s.ready = append(s.ready, m)
 		}
 	}
 }
 
-// hear takes the count of free slots from a sibling's answer.
-func (s *siblings) hear(id fleet.MemberID, h http.Header) {
+// recordFreeSlots takes the count of free slots from a sibling's answer.
+func (s *siblings) recordFreeSlots(id fleet.MemberID, h http.Header) {
 	n, err := strconv.Atoi(h.Get(headerFree))
 	if err != nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.free == nil {
-		s.free = map[fleet.MemberID]free{}
+	if s.freeSlots == nil {
+		s.freeSlots = map[fleet.MemberID]freeSlots{}
 	}
-	s.free[id] = free{slots: n, at: time.Now()}
+	s.freeSlots[id] = freeSlots{slots: n, at: time.Now()}
 }
 
 // pick returns the sibling to try: of two at random that were not tried, the
@@ -68,7 +68,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var left []fleet.Member
-	for _, m := range s.all {
+	for _, m := range s.ready {
 		if !tried[m.ID] {
 			left = append(left, m)
 		}
@@ -77,30 +77,30 @@
 		return fleet.Member{}, false
 	}
 	rand.Shuffle(len(left), func(i, j int) { left[i], left[j] = left[j], left[i] })
-	if len(left) > 1 && s.known(left[1].ID) > s.known(left[0].ID) {
+	if len(left) > 1 && s.lastFreeSlots(left[1].ID) > s.lastFreeSlots(left[0].ID) {
 		return left[1], true
 	}
 	return left[0], true
 }
 
-// unknownFree ranks a sibling that said nothing lately above one that said to
+// assumedFreeSlots ranks a sibling that said nothing lately above one that said to
 // be full.
-const unknownFree = 1
+const assumedFreeSlots = 1
 
-func (s *siblings) known(id fleet.MemberID) int {
-	f, ok := s.free[id]
-	if !ok || time.Since(f.at) > freshFor {
-		return unknownFree
+func (s *siblings) lastFreeSlots(id fleet.MemberID) int {
+	f, ok := s.freeSlots[id]
+	if !ok || time.Since(f.at) > freeSlotsTTL {
+		return assumedFreeSlots
 	}
 	return f.slots
 }
 
 // home returns the address of a key's home if that life is still there.
-func homeAlive(st *fleet.State, peer string, life fleet.Incarnation) bool {
+func homeAlive(st *fleet.State, peer string, incarnation fleet.Incarnation) bool {
 	ms, _ := st.Snapshot()
 	for _, m := range ms {
 		if m.Peer.String() == peer {
-			return m.Incarnation == life && m.Phase != fleet.PhaseLeft
+			return m.Incarnation == incarnation && m.Phase != fleet.PhaseLeft
 		}
 	}
 	// A view that lacks the home may be the one at fault; the call will tell.
