--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,5 +1,11 @@
-// Package agent is the program beside each upstream: the end point of callers'
-// flows, and the authority on them and on what its upstream may be given.
+// Package agent implements the program that runs beside each upstream. It terminates
+// callers' flows, and it alone decides which flows and requests its upstream gets.
+//
+// Terms: a caller is a client, a flow is one of its QUIC connections, and an opening is
+// the first datagrams of a flow, which carry its handshake. A feed is a long-lived
+// streaming response. Siblings are the other agents of the same service. The home of an
+// idempotency key is the agent that issued it. An availability zone is out while it is
+// taken out of service.
 package agent
 
 import (
@@ -31,7 +37,7 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// Agent is a running agent.
+// Agent terminates the flows of one upstream and dispatches their requests.
 type Agent struct {
 	*process.Process
 	opts     Options
@@ -43,19 +49,20 @@
 	tr       *quic.Transport
 	h3       *http3.Server
 
-	// zoneOut says that the agent's availability zone is out.
+	// zoneOut is set while the agent's availability zone is out.
 	zoneOut atomic.Bool
-	// stopping says that the agent itself was told to stop.
+	// stopping is set once the agent itself was asked to stop. From then on it does not
+	// become ready again when its upstream stops draining.
 	stopping atomic.Bool
 	version  bundle.Version
 	kill     chan struct{}
 	killOnce sync.Once
 	ticks    int
-	// loggedCrossed and loggedDropped are the counts that were logged last.
+	// loggedCrossed and loggedDropped are the counts at the last AnswerDropped event.
 	loggedCrossed, loggedDropped uint64
 }
 
-// New prepares an agent and opens its sockets.
+// New creates an agent and opens its sockets.
 func New(o Options, l *slog.Logger, off guard.Off) (*Agent, error) {
 	t, err := o.callerTLS()
 	if err != nil {
@@ -92,7 +99,7 @@
 	return a, nil
 }
 
-// setUpFlowServer sets up the end point of callers' flows.
+// setUpFlowServer creates the QUIC transport and the HTTP/3 server for callers' flows.
 func (a *Agent) setUpFlowServer(t *tls.Config, self fleet.Member) {
 	reset := quic.StatelessResetKey(a.Keys()[0].Derive(keyring.UseReset, 32))
 	a.tr = &quic.Transport{
@@ -105,10 +112,10 @@
 	a.h3 = &http3.Server{Handler: a.handler, TLSConfig: http3.ConfigureTLSConfig(t), ConnContext: a.registerFlow, MaxHeaderBytes: maxHeaderBytes}
 }
 
-// maxHeaderBytes bounds a request's header in bytes.
 const maxHeaderBytes = 64 << 10
 
-// registerFlow registers a new flow.
+// registerFlow adds a new flow to the flow table and stores its ID in the connection's
+// context.
 func (a *Agent) registerFlow(ctx context.Context, c *quic.Conn) context.Context {
 	id := a.flows.add(c, func() {
 		a.Log.Add(events.FlowClosed, slog.String("caller", c.RemoteAddr().String()), slog.Any("cause", context.Cause(c.Context())))
@@ -116,16 +123,19 @@
 	return context.WithValue(ctx, flowKey{}, id)
 }
 
-// quicConfig returns the settings of callers' flows. Both sides keep a flow
-// alive more often than a middlebox forgets, and find a silent path in seconds.
+// quicConfig returns the QUIC settings of callers' flows. Both sides send keep-alives
+// more often than middleboxes drop idle mappings, and detect a dead path within
+// seconds.
 func (a *Agent) quicConfig() *quic.Config {
 	return &quic.Config{
 		GetConfigForClient: func(i *quic.ClientInfo) (*quic.Config, error) { return a.configFor(i) },
 	}
 }
 
-var errRefused = errors.New("no agent has room for the flow")
+var errRefused = errors.New("no agent has capacity for the flow")
 
+// configFor returns the QUIC settings of a new flow, or errRefused if the opening of
+// its caller is to be refused.
 func (a *Agent) configFor(i *quic.ClientInfo) (*quic.Config, error) {
 	if u, ok := addrPort(i.RemoteAddr); ok && a.conn.refused.has(u, time.Now()) {
 		return nil, errRefused
@@ -143,7 +153,7 @@
 	maxStreamsPerFlow = 256
 )
 
-// Run serves until the context ends, then leaves gracefully.
+// Run serves until stopped ends, then drains the agent and returns.
 func (a *Agent) Run(stopped context.Context) error {
 	var g run.Group
 	a.AddTo(&g)
@@ -164,8 +174,8 @@
 	return err
 }
 
-// acceptFlows serves flows until the context ends. A server that shuts down
-// accepts no more at once, but its open flows go on.
+// acceptFlows serves flows until the context ends. During a shutdown ServeListener
+// returns at once while open flows continue, so acceptFlows then waits for the context.
 func (a *Agent) acceptFlows(ctx context.Context, l http3.QUICListener) error {
 	err := a.h3.ServeListener(l)
 	if err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, quic.ErrServerClosed) {
@@ -175,19 +185,20 @@
 	return nil
 }
 
-// Kill ends the agent at once, as a crash would.
+// Kill stops the agent at once, without draining it, as a crash would.
 func (a *Agent) Kill() { a.killOnce.Do(func() { close(a.kill) }) }
 
 const (
-	// reviewInterval is how often silent balancers are dropped from the paths; it
-	// bounds how late a return path moves.
+	// reviewInterval is how often silent balancers are removed from the return paths.
+	// It limits how late a return path moves to another balancer.
 	reviewInterval = 250 * time.Millisecond
-	// doubtInterval is how often doubts, which come to count with time alone, are
-	// weighed without a change of the view.
+	// doubtInterval is how often the agent re-evaluates which members are doubted
+	// (suspected to have failed) while the fleet's view does not change. Doubts take
+	// effect only after some time.
 	doubtInterval = 5 * time.Second
 )
 
-// followFleet keeps up with the fleet's view.
+// followFleet applies changes of the fleet's view and runs the periodic checks.
 func (a *Agent) followFleet(ctx context.Context) error {
 	t := time.NewTicker(reviewInterval)
 	defer t.Stop()
@@ -210,9 +221,12 @@
 	}
 }
 
-// reviewsPerCollection is how many reviews pass between two collections.
+// reviewsPerCollection is the number of review intervals between two collections of
+// expired journal entries.
 const reviewsPerCollection = 240
 
+// runHousekeeping logs newly dropped responses and, every reviewsPerCollection calls,
+// collects expired journal entries.
 func (a *Agent) runHousekeeping() {
 	if c, d := a.disp.client.Crossed.Load(), a.disp.client.Dropped.Load(); c != a.loggedCrossed || d != a.loggedDropped {
 		a.Log.Add(events.AnswerDropped, slog.Uint64("crossed", c-a.loggedCrossed), slog.Uint64("dropped", d-a.loggedDropped))
@@ -223,6 +237,7 @@
 	}
 }
 
+// apply applies the fleet's view: the bundle, if it is a new version, and the members.
 func (a *Agent) apply(ctx context.Context) {
 	x := a.State.Accepted()
 	if x == nil {
@@ -258,6 +273,8 @@
 	a.setZoneOut(ctx, x.Bundle.ZoneOut(a.opts.Zone), t.ZoneOutRun)
 }
 
+// setKeys installs a key ring for the link, the connection IDs and the idempotency
+// keys.
 func (a *Agent) setKeys(r keyring.Ring) {
 	ks := link.NewKeys(r)
 	a.conn.keys.Store(&ks)
@@ -265,9 +282,10 @@
 	a.handler.keyedRequests.sealer.Store(idempotency.NewSealer(r))
 }
 
-// setZoneOut closes the flows a moment after the availability zone went out. The
-// users give these flows up; closing them at once lets callers open new ones in
-// other zones, where silence would hold them for the idle timeout.
+// setZoneOut applies the state of the agent's availability zone. After the zone goes
+// out, all flows are closed at the end of the grace period; their loss is accepted.
+// Callers can then open flows in other zones at once. Without the close they would wait
+// for the idle timeout.
 func (a *Agent) setZoneOut(ctx context.Context, out bool, grace time.Duration) {
 	if out == a.zoneOut.Load() || a.disp.disabledGuards.Has(guard.Zone) {
 		return
@@ -293,11 +311,12 @@
 	}()
 }
 
-// codeZoneOut closes flows of a zone that is out: H3_NO_ERROR, so callers see
-// an orderly end and open new flows.
+// codeZoneOut closes the flows of an availability zone that is out. It is H3_NO_ERROR,
+// so callers see an orderly close and open new flows.
 const codeZoneOut = quic.ApplicationErrorCode(http3.ErrCodeNoError)
 
-// admitFlow says why a flow can't be taken, or nothing.
+// admitFlow returns the reason why the agent can't accept another flow, or an empty
+// reason if it can.
 func (a *Agent) admitFlow() events.Reason {
 	s := a.disp.service.Load()
 	switch {
@@ -313,7 +332,13 @@
 	return ""
 }
 
-// Counts is what an agent holds and has done.
+// Counts is a snapshot of an agent's load and counters. Placed to Cut count requests:
+// Placed were sent to the agent's own upstream, Passed to a sibling and ToHome to their
+// key's home; Refused and Unknown were refused with the outcome "not-run" or "unknown";
+// Replayed got a recorded response; the responses of Cut were cut off. Crossed counts
+// responses that arrived on another request's connection, Dropped those that no request
+// was waiting for. Strange counts link messages without a valid tag, Unrouted outgoing
+// datagrams for which no balancer was known.
 type Counts struct {
 	Flows    int           `json:"flows"`
 	Load     upstream.Load `json:"load"`
@@ -334,7 +359,7 @@
 	Unrouted uint64        `json:"unrouted"`
 }
 
-// Counts returns the agent's counters.
+// Counts returns the current counts.
 func (a *Agent) Counts() Counts {
 	c := a.disp.counts
 	return Counts{
--- a/agent/body.go
+++ b/agent/body.go
@@ -5,25 +5,28 @@
 	"sync"
 )
 
-// maxReplayBytes is how much of a request's body is kept until it is known that the
-// request need not be sent a second time.
+// maxReplayBytes is how much of a request body is buffered so that the request can be
+// sent a second time.
 const maxReplayBytes = 64 << 10
 
-// replayBody lets a request be sent again after a refusal that proves it was
-// not run, as long as little of its body was read.
+// replayBody buffers the start of a request body, so that the request can be sent again
+// after a failed attempt. That is no longer possible once more than maxReplayBytes were
+// read.
 type replayBody struct {
 	src io.ReadCloser
 
 	mu         sync.Mutex
 	buffered   []byte
 	overflowed bool
-	// attempt counts the sendings; the reader of an earlier one gets no more.
+	// attempt numbers the attempts to send the request. Readers of earlier attempts
+	// fail.
 	attempt int
 }
 
 func newReplayBody(src io.ReadCloser) *replayBody { return &replayBody{src: src} }
 
-// reader returns the body from its start, or false if too much has been read.
+// reader returns a reader of the whole body for a new attempt, or false if more was
+// read than is buffered.
 func (b *replayBody) reader() (io.ReadCloser, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -34,13 +37,14 @@
 	return &bodyReader{b: b, attempt: b.attempt}, true
 }
 
+// bodyReader reads the body for one attempt.
 type bodyReader struct {
 	b       *replayBody
 	attempt int
 	offset  int
 }
 
-// Read returns what was kept, then what the caller goes on to send.
+// Read returns the buffered bytes first, then reads on from the caller.
 func (t *bodyReader) Read(p []byte) (int, error) {
 	t.b.mu.Lock()
 	defer t.b.mu.Unlock()
@@ -62,5 +66,5 @@
 	return n, err
 }
 
-// Close ends this sending; the caller's body stays for the next.
+// Close does nothing: the caller's body stays open for the next attempt.
 func (t *bodyReader) Close() error { return nil }
--- a/agent/conn.go
+++ b/agent/conn.go
@@ -14,16 +14,16 @@
 	"pomeloway.example/pomeloway/quiclb"
 )
 
-// conn is the net.PacketConn under quic-go. It strips the links' headers from
-// callers' datagrams and adds them to answers; heartbeats and openings that
-// belong elsewhere are dealt with on the way and never reach quic-go.
+// conn is the net.PacketConn under quic-go. It removes the link headers from callers'
+// datagrams and adds them to outgoing ones. It handles heartbeats, and openings that
+// another agent should take, itself; they never reach quic-go.
 type conn struct {
 	socket      *link.Socket
 	service     bundle.ServiceID
 	zone        bundle.ZoneID
 	incarnation fleet.Incarnation
-	// admit returns why one more flow can't be taken, or nothing; flows
-	// returns how many are open.
+	// admit returns the reason why another flow can't be accepted, or an empty reason;
+	// flowCount returns the number of open flows.
 	admit     func() events.Reason
 	flowCount func() int
 	log       *events.Log
@@ -32,14 +32,19 @@
 	openings  openingTable
 	refused   refusedCallers
 
-	// Unknown counts messages without a valid tag, Foreign those of another
-	// service, Unrouted answers for which no balancer was known.
+	// Unknown counts messages without a valid tag and stale heartbeats, Foreign
+	// messages for another service or of a caller without an IPv4 address, Unrouted
+	// outgoing datagrams for which no balancer was known, and Passed datagrams of
+	// openings that were passed to another agent.
 	Unknown, Foreign, Unrouted, Passed atomic.Uint64
 
+	// batch holds the datagrams that were read last: batchLen of them, of which
+	// batchNext is the next to handle.
 	batch     *link.Batch
 	batchNext int
 	batchLen  int
-	// lastTraffic is the reader's own: when each balancer was last heard.
+	// lastTraffic is when each balancer's traffic was last recorded. Only the reading
+	// goroutine uses it.
 	lastTraffic map[netip.AddrPort]time.Time
 }
 
@@ -49,7 +54,8 @@
 	return &conn{socket: s, service: service, zone: zone, incarnation: incarnation, admit: admit, flowCount: flowCount, log: l, batch: link.NewBatch(readBatch), lastTraffic: map[netip.AddrPort]time.Time{}}
 }
 
-// ReadFrom returns the next datagram of a caller. quic-go reads in one goroutine.
+// ReadFrom returns the next datagram of a caller. It must not be called concurrently;
+// quic-go reads in one goroutine.
 func (c *conn) ReadFrom(b []byte) (int, net.Addr, error) {
 	for {
 		for c.batchNext < c.batchLen {
@@ -67,7 +73,8 @@
 	}
 }
 
-// handle returns the caller's datagram if it is for quic-go here.
+// handle processes one message of the link. It returns the caller's datagram and
+// address if they are for quic-go, otherwise nil.
 func (c *conn) handle(p []byte, from netip.AddrPort) ([]byte, netip.AddrPort) {
 	var m link.Message
 	payload, ok := c.keys.Load().Get(p, &m)
@@ -79,8 +86,8 @@
 		c.answerHeartbeat(&m, from)
 		return nil, netip.AddrPort{}
 	}
-	// A letter's datagram must not open or feed a flow of another service, and
-	// an answer to anything but IPv4 can't be sent.
+	// A datagram of another service must not open or reach a flow of this one, and
+	// datagrams can only be returned to IPv4 callers.
 	if m.Service != c.service || !m.Caller.Addr().Is4() {
 		c.Foreign.Add(1)
 		return nil, netip.AddrPort{}
@@ -92,15 +99,18 @@
 	return nil, netip.AddrPort{}
 }
 
-// implicitHeartbeatInterval is how often a balancer's datagrams are taken for a heartbeat.
+// implicitHeartbeatInterval is the shortest time between two datagrams of a balancer
+// that count as its heartbeats.
 const implicitHeartbeatInterval = 200 * time.Millisecond
 
-// recordTraffic takes a caller's datagram for the heartbeat of the balancer it came by.
+// recordTraffic counts a caller's datagram as a heartbeat of the balancer that
+// forwarded it.
 //
-// When balancers die faster than verdicts spread, all that should observe an
-// agent may be dead, and no heartbeat comes; it shows as feeds that end by the
-// idle timeout although their callers' acknowledgements arrive. What carries
-// those is recordTraffic. An opening that another agent passed on says nothing.
+// When balancers fail faster than the fleet agrees on which are alive, all balancers
+// that should send heartbeats to an agent may be dead. Without this function, feeds
+// would then end by the idle timeout although their callers' acknowledgements still
+// arrive; a balancer that forwards these is alive. An opening that another agent passed
+// on is no sign of a live balancer.
 func (c *conn) recordTraffic(m *link.Message, from netip.AddrPort) {
 	if m.Position > 0 {
 		return
@@ -116,7 +126,7 @@
 	c.paths.recordHeartbeat(from, m.Zone, now)
 }
 
-// maxTrackedBalancers bounds the balancers whose last datagram is remembered.
+// maxTrackedBalancers limits the size of lastTraffic.
 const maxTrackedBalancers = 1024
 
 func (c *conn) answerHeartbeat(m *link.Message, from netip.AddrPort) {
@@ -134,12 +144,13 @@
 	c.socket.WriteToUDPAddrPort(b[:], from)
 }
 
-// handleOpening decides on one datagram of an opening and reports whether it is taken.
+// handleOpening handles one datagram of an opening and reports whether quic-go should
+// get it.
 //
-// Two datagrams of one opening reach this agent over two balancers, or again
-// after a repeat. Deciding each anew would split the handshake when a slot of
-// connections is freed or lost in between; it shows as a caller's time-out. So
-// the first decision stands for as long as a caller would repeat.
+// Several datagrams of one opening may arrive through different balancers, or again as
+// retransmissions. If each were decided separately, a flow that closes or opens in
+// between could split the handshake between two agents, and the caller would time out.
+// So the first decision applies for as long as a caller retransmits.
 func (c *conn) handleOpening(m *link.Message, datagram, payload []byte) bool {
 	class, cid := quiclb.Classify(payload)
 	if class != quiclb.ClassOpening {
@@ -148,7 +159,7 @@
 	k, now := openingKey{fleet.HashOf(cid), m.Caller}, time.Now()
 	earlier := c.openings.get(k, now)
 	if earlier.decision == decisionPassed && wasReturned(m) || earlier.target.IsValid() && hopsExhausted(m) {
-		earlier = placement{} // the sibling has compared, and it is busier; or nobody takes it
+		earlier = placement{} // the sibling is busier and returned it, or the opening has no hops left
 	}
 	switch earlier.decision {
 	case decisionTaken:
@@ -166,6 +177,8 @@
 	return c.decideOpening(k, m, datagram, now)
 }
 
+// decideOpening decides on the first datagram of an opening and records the decision.
+// It reports whether quic-go should get the datagram.
 func (c *conn) decideOpening(k openingKey, m *link.Message, datagram []byte, now time.Time) bool {
 	reason := c.admit()
 	d := events.Decision{ID: events.FlowOpened, Reason: reason, Service: c.service, Zone: c.zone, Caller: m.Caller, Flow: k.connIDHash, Target: c.socket.Addr()}
@@ -200,8 +213,8 @@
 		c.passOpening(m, datagram, d.Target)
 		return false
 	}
-	// Nobody has room: the caller hears so at once, and truthfully, since
-	// nothing of it was run.
+	// No candidate has capacity. quic-go refuses the opening at once, and the caller
+	// can safely retry, since none of its requests has run.
 	d.ID = events.FlowRefused
 	c.openings.put(k, placement{decision: decisionRefused}, now)
 	c.refused.add(m.Caller, now)
@@ -209,11 +222,12 @@
 	return true
 }
 
-// wasReturned reports whether the second candidate gave the opening back.
+// wasReturned reports whether the second candidate returned the opening to the first.
 func wasReturned(m *link.Message) bool { return m.Position == m.Count && m.Count > 1 }
 
-// nextCandidate returns the index of the candidate after this one. One that got an
-// opening back has tried the second, and goes on with the third.
+// nextCandidate returns the index of the candidate to try after this agent. An agent
+// that got an opening back has already tried the second candidate and goes on with the
+// third.
 func nextCandidate(m *link.Message) uint8 {
 	if wasReturned(m) {
 		return 2
@@ -221,22 +235,25 @@
 	return m.Position + 1
 }
 
-// isLastCandidate reports whether nobody is asked after this candidate.
+// isLastCandidate reports whether there is no further candidate to try.
 func isLastCandidate(m *link.Message) bool { return nextCandidate(m) >= m.Count || hopsExhausted(m) }
 
-// maxHops keeps an opening from going round. Balancers with unlike views name unlike
-// candidates for its datagrams, and what one agent keeps of the first list may lead a
-// datagram of the second back to where it was.
+// maxHops prevents an opening from circulating without end. Balancers with different
+// views name different candidates for its datagrams, and a decision that an agent
+// recorded for the first list may send a datagram of the second list back to an agent
+// that it came from.
 const maxHops = link.MaxCandidates + 2
 
-// hopsExhausted reports whether the opening must be taken or refused where it is.
+// hopsExhausted reports whether the opening must be accepted or refused by this agent.
 func hopsExhausted(m *link.Message) bool { return m.Number >= maxHops }
 
-// compareLoads lets the less busy of the first two candidates take the opening (the
-// power of two choices; Mitzenmacher, 2001). The first sends its count of flows
-// along; the second takes the opening if it has no more, or gives it back. Both
-// counts are of this moment, so nobody's report can be stale. It costs one hop
-// between agents for an opening, two for about half of them.
+// compareLoads selects the less busy of the first two candidates (power of two choices;
+// Mitzenmacher, 2001). It returns ReasonBusier if the other candidate should take the
+// opening, otherwise an empty reason. The first candidate sends its number of flows
+// along; the second takes the opening if it has no more flows than that, otherwise it
+// returns the opening. Both numbers are current, so no decision depends on a stale load
+// report. The cost is one hop between agents for an opening, and two for about half of
+// them.
 func (c *conn) compareLoads(m *link.Message) events.Reason {
 	switch {
 	case hopsExhausted(m):
@@ -248,16 +265,18 @@
 	return ""
 }
 
+// load returns the number of open flows, limited to the range of link.Message.Load.
 func (c *conn) load() uint16 { return uint16(min(c.flowCount(), 1<<16-1)) }
 
-// passOpening sends the datagram on to the next candidate, as its opening's first one was.
+// passOpening passes the datagram to the agent that its opening's first datagram was
+// passed to.
 func (c *conn) passOpening(m *link.Message, datagram []byte, to netip.AddrPort) {
 	c.Passed.Add(1)
 	m.Position = min(nextCandidate(m), m.Count)
 	c.send(m, datagram, to)
 }
 
-// returnOpening returns the datagram to the agent that had passed its opening on.
+// returnOpening returns the datagram to the agent that had passed its opening here.
 func (c *conn) returnOpening(m *link.Message, datagram []byte, to netip.AddrPort) {
 	m.Position = m.Count
 	c.send(m, datagram, to)
@@ -275,11 +294,11 @@
 
 var sendBuffers = sync.Pool{New: func() any { return new(sendBuffer) }}
 
-// WriteTo sends a datagram to a caller by a live balancer.
+// WriteTo sends a datagram to a caller through a live balancer.
 func (c *conn) WriteTo(p []byte, to net.Addr) (int, error) {
 	u, ok := to.(*net.UDPAddr)
 	if !ok || len(p) > link.MaxPayload {
-		return len(p), nil // QUIC repeats what is lost, in smaller datagrams
+		return len(p), nil // counts as lost; QUIC retransmits in smaller datagrams
 	}
 	a := u.AddrPort()
 	a = netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
@@ -314,8 +333,9 @@
 // SetWriteDeadline sets the write deadline of the link's socket.
 func (c *conn) SetWriteDeadline(t time.Time) error { return c.socket.SetWriteDeadline(t) }
 
-// refusedCallers are the callers whose opening is to be refused by quic-go, which
-// asks by address only. Bounded like openings.
+// refusedCallers are the callers whose opening quic-go must refuse. They are identified
+// by address, since quic-go passes nothing else to the callback that refuses. The table
+// is bounded.
 type refusedCallers struct {
 	table openingTable
 }
--- a/agent/conn_test.go
+++ b/agent/conn_test.go
@@ -19,7 +19,7 @@
 	balancerAddr = netip.MustParseAddrPort("127.0.0.1:9")
 )
 
-// listener is the next agent in the list of candidates.
+// listener opens a socket, for instance for the next agent in a list of candidates.
 func listener(t *testing.T) *link.Socket {
 	t.Helper()
 	s, err := link.Listen(netip.MustParseAddrPort("127.0.0.1:0"))
@@ -42,7 +42,7 @@
 	return append(binary.BigEndian.AppendUint64([]byte{0xc0, 0, 0, 0, 1, 8}, id), make([]byte, 100)...)
 }
 
-// openingDatagram builds the datagram of an opening as a balancer sends it.
+// openingDatagram returns the datagram of an opening as a balancer sends it.
 func openingDatagram(m link.Message, payload []byte) []byte {
 	b := append(make([]byte, link.HeaderSize), payload...)
 	m.Kind = link.KindOpen
@@ -56,10 +56,11 @@
 	return b
 }
 
-// A ClientHello with today's key exchange fills two datagrams. The first finds
-// the agent full, and is passed on; then a flow ends, and the second arrives, or
-// the first again. If it were taken here now, each of two agents would hold half
-// a handshake, and the caller would wait until it gives up.
+// Guards against an opening that is split between two agents. A ClientHello with a
+// hybrid post-quantum key exchange fills two datagrams. The first one finds the agent
+// full and is passed on; then a flow ends, and the second one arrives, or the first one
+// again. If it were taken here now, each agent would hold half a handshake, and the
+// caller would time out.
 func TestAllDatagramsOfAnOpeningFollowTheFirst(t *testing.T) {
 	next := listener(t)
 	for name, x := range map[string]struct {
@@ -77,12 +78,12 @@
 			for i := range 4 {
 				p, _ := c.handle(openingDatagram(m, initialPacket(5)), balancerAddr)
 				if (p != nil) != x.takenHere {
-					t.Errorf("datagram %d taken here: %t", i, p != nil)
+					t.Errorf("datagram %d taken by this agent: %t", i, p != nil)
 				}
 				reason = x.then
 			}
 			if p, _ := c.handle(openingDatagram(m, initialPacket(6)), balancerAddr); (p != nil) != (x.then == "") {
-				t.Error("another opening was decided by the first one's fate")
+				t.Error("the decision on the first opening was applied to another one")
 			}
 		})
 	}
@@ -97,19 +98,19 @@
 	var m link.Message
 	p, ok := (*c.keys.Load()).Get(b[:n], &m)
 	if err != nil || !ok || m.Position != 1 || m.Caller != callerAddr || string(p) != string(initialPacket(5)) {
-		t.Errorf("the next agent read %+v, %t, %v", m, ok, err)
+		t.Errorf("the next agent received %+v, %t, %v", m, ok, err)
 	}
 }
 
-// Two agents have room, one with more flows than the other. Whichever the
-// balancer asked first, the less busy one must take the opening, with all its
-// datagrams, and neither may send it round for ever.
+// Guards against an opening that goes to the busier of two agents, or circulates
+// between them. Both agents have capacity, one has more flows. Whichever the balancer
+// asked first, the less busy one must take all datagrams of the opening.
 func TestLessBusyOfTwoTakesTheOpening(t *testing.T) {
 	for name, x := range map[string]struct {
 		first, second int
 		atFirst       bool
 	}{
-		"first busier": {9, 3, false}, "second busier": {3, 9, true}, "alike": {5, 5, false}, "first empty": {0, 0, true},
+		"first busier": {9, 3, false}, "second busier": {3, 9, true}, "equal": {5, 5, false}, "first without flows": {0, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			admitAll := func() events.Reason { return "" }
@@ -121,12 +122,12 @@
 				p := openingDatagram(m, initialPacket(5))
 				for taken, _ := at.handle(p, balancerAddr); taken == nil; taken, _ = at.handle(p, balancerAddr) {
 					if at, hops = other(at, a, b), hops+1; hops > 2 {
-						t.Fatal("the opening goes round")
+						t.Fatal("the opening circulates")
 					}
 					p = receive(t, at)
 				}
 				if (at == a) != x.atFirst {
-					t.Errorf("datagram %d ended at the first agent: %t", datagram, at == a)
+					t.Errorf("datagram %d was taken by the first agent: %t", datagram, at == a)
 				}
 			}
 		})
@@ -150,7 +151,7 @@
 	return b[:n]
 }
 
-// agentConns is agents that pass openings to each other.
+// agentConns are agents that pass openings to each other.
 type agentConns []*conn
 
 func (f agentConns) openingFor(at ...int) link.Message {
@@ -161,7 +162,8 @@
 	return m
 }
 
-// deliver gives the datagram to an agent and follows it; it returns where it ended.
+// deliver delivers the datagram to an agent, follows it, and returns the agent that
+// took it.
 func (f agentConns) deliver(t *testing.T, p []byte, at int) int {
 	t.Helper()
 	for range 3 * maxHops {
@@ -170,11 +172,11 @@
 		}
 		p, at = f.receive(t)
 	}
-	t.Fatal("the opening goes round")
+	t.Fatal("the opening circulates")
 	return 0
 }
 
-// receive returns the next datagram that an agent passed on, and to which.
+// receive returns the next datagram that an agent passed on, and the receiving agent.
 func (f agentConns) receive(t *testing.T) ([]byte, int) {
 	t.Helper()
 	for {
@@ -188,9 +190,9 @@
 	}
 }
 
-// Guards against an opening that goes round among agents until its caller gives up,
-// since two balancers named unlike candidates for its datagrams and one of the agents
-// began to leave in between.
+// Guards against an opening that circulates among agents until its caller gives up. Two
+// balancers name different candidates for its datagrams, and one of the agents begins
+// to leave in between.
 func TestOpeningWithUnlikeCandidatesEndsAtOneAgent(t *testing.T) {
 	reasons := make([]events.Reason, 4)
 	var f agentConns
@@ -202,18 +204,18 @@
 	reasons[0] = events.ReasonLeaving
 	f[1].handle(openingDatagram(f.openingFor(1, 2, 3), initialPacket(5)), balancerAddr)
 	p, at := f.receive(t)
-	f[at].handle(p, balancerAddr) // busier, it gives the opening back
+	f[at].handle(p, balancerAddr) // busier, so it returns the opening
 	back, at := f.receive(t)
 	ends := map[int]bool{f.deliver(t, openingDatagram(f.openingFor(0, 1, 2), initialPacket(5)), 0): true}
 	ends[f.deliver(t, back, at)] = true
 	ends[f.deliver(t, openingDatagram(f.openingFor(0, 1, 2), initialPacket(5)), 0)] = true
 	ends[f.deliver(t, openingDatagram(f.openingFor(3, 2, 1), initialPacket(5)), 2)] = true
 	if len(ends) != 1 || !ends[1] {
-		t.Errorf("the opening's datagrams ended at %v", ends)
+		t.Errorf("the opening's datagrams were taken by agents %v, want 1 only", ends)
 	}
 }
 
-// Guards against an opening that goes round among agents that all leave.
+// Guards against an opening that circulates among agents that are all leaving.
 func TestOpeningAmongLeavingAgentsIsRefused(t *testing.T) {
 	var f agentConns
 	leaving := events.Reason("")
@@ -227,44 +229,45 @@
 	leaving = events.ReasonLeaving
 	at := f.deliver(t, openingDatagram(f.openingFor(2, 0, 1), initialPacket(5)), 2)
 	if !f[at].refused.has(callerAddr, time.Now()) {
-		t.Error("it was taken by an agent that leaves")
+		t.Error("the opening was taken by an agent that is leaving")
 	}
 }
 
-// Guards against a panic on the datagram of an opening that was passed on before, if it
-// names the agent as its last candidate.
+// Guards against a panic on a datagram whose opening was passed on before, if the
+// datagram names the agent as its last candidate.
 func TestKnownOpeningAtItsLastCandidateIsPassedOn(t *testing.T) {
 	f := agentConns{testConn(t, func() events.Reason { return "" }), testConn(t, func() events.Reason { return "" })}
 	f[0].flowCount = func() int { return 5 }
 	f[0].handle(openingDatagram(f.openingFor(0, 1), initialPacket(5)), balancerAddr)
 	if _, at := f.receive(t); at != 1 {
-		t.Fatal("it was not passed on")
+		t.Fatal("the opening was not passed on")
 	}
 	m := f.openingFor(1, 1, 1, 0)
 	m.Position = 3
 	if at := f.deliver(t, openingDatagram(m, initialPacket(5)), 0); at != 1 {
-		t.Errorf("the second datagram ended at agent %d, the first at 1", at)
+		t.Errorf("the second datagram was taken by agent %d, the first by 1", at)
 	}
 }
 
-// Every agent is full. The caller must hear so at once and truthfully from the
-// last one, not run into its own time-out; and a caller that was refused once
-// must be able to open a flow when there is room again.
+// Guards against callers that time out when every agent is full, or stay refused
+// afterwards. The last candidate must refuse the opening at once, and the caller must
+// be able to open a flow when there is capacity again.
 func TestLastCandidateRefusesAtOnce(t *testing.T) {
 	reason := events.ReasonFull
 	c := testConn(t, func() events.Reason { return reason })
 	m := link.Message{Count: 1, Candidates: [link.MaxCandidates]netip.AddrPort{c.socket.Addr()}}
 	if p, _ := c.handle(openingDatagram(m, initialPacket(5)), balancerAddr); p == nil || !c.refused.has(callerAddr, time.Now()) {
-		t.Error("the opening was not given to quic-go to refuse")
+		t.Error("the opening did not reach quic-go to be refused")
 	}
 	reason = ""
 	if p, _ := c.handle(openingDatagram(m, initialPacket(6)), balancerAddr); p == nil || c.refused.has(callerAddr, time.Now()) {
-		t.Error("the next opening of the caller is refused, too")
+		t.Error("the next opening of the caller was refused, too")
 	}
 }
 
-// A datagram of another service reaches this agent: an address was reused, or
-// a balancer's view is old. A letter must not open a flow to scan intake.
+// Guards against a flow that is opened at another service. A datagram of another
+// service reaches this agent because an address was reused or the view of a balancer is
+// old.
 func TestDatagramsOfOtherServicesAreNotTaken(t *testing.T) {
 	c := testConn(t, func() events.Reason { return "" })
 	m := link.Message{Service: 2, Count: 1, Candidates: [link.MaxCandidates]netip.AddrPort{c.socket.Addr()}}
@@ -278,19 +281,19 @@
 	}
 }
 
-// A process of the fleet with a fault names a caller that can't be answered. The
-// agent must drop the datagram, not end with a panic and all its flows.
+// Guards against a panic that would end all flows of an agent. A faulty process of the
+// fleet names a caller without an IPv4 address, to which no datagram can be returned.
 func TestCallerWithoutIPv4IsDropped(t *testing.T) {
 	c := testConn(t, func() events.Reason { return "" })
 	m := link.Message{Count: 1, Caller: netip.MustParseAddrPort("[2001:db8::1]:1"), Candidates: [link.MaxCandidates]netip.AddrPort{c.socket.Addr()}}
 	if p, _ := c.handle(openingDatagram(m, initialPacket(5)), balancerAddr); p != nil {
-		t.Error("it was taken")
+		t.Error("a datagram of a caller without an IPv4 address was taken")
 	}
 }
 
-// A feed only speaks; its caller says nothing for minutes. When the balancer it
-// used dies, the agent must find another by itself within the time that QUIC
-// goes on repeating.
+// Guards against a feed that ends because its balancer fails. The caller of a feed
+// sends nothing for minutes, so the agent must find another balancer by itself, while
+// QUIC still retransmits.
 func TestReturnPathMovesWithoutTheCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p paths
@@ -315,13 +318,13 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		if d := time.Since(start); d > 2*time.Second {
-			t.Errorf("moved after %v", d)
+			t.Errorf("the return path moved after %v", d)
 		}
 	})
 }
 
-// The table of openings sees a flood of made-up ones. It must stay bounded, and
-// still know a true opening for as long as a caller repeats it.
+// Guards against a flood of forged openings. The table must stay bounded, and must
+// still remember a real opening for as long as its caller retransmits.
 func TestOpeningsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var o openingTable
@@ -329,25 +332,26 @@
 			o.put(openingKey{connIDHash: i}, placement{decision: decisionTaken}, time.Now())
 		}
 		if n := len(o.current) + len(o.previous); n > 2*maxOpenings {
-			t.Errorf("%d openings are kept", n)
+			t.Errorf("the table holds %d openings", n)
 		}
 		k := openingKey{connIDHash: 1 << 60}
 		o.put(k, placement{decision: decisionPassed}, time.Now())
 		time.Sleep(openingPeriod - time.Second)
 		if o.get(k, time.Now()).decision != decisionPassed {
-			t.Error("forgotten while the caller still repeats it")
+			t.Error("the opening was dropped while its caller still retransmits")
 		}
 		time.Sleep(3 * openingPeriod)
 		if o.get(k, time.Now()).decision != decisionNone {
-			t.Error("remembered for good")
+			t.Error("the opening was never dropped")
 		}
 	})
 }
 
-// Operators replace the balancers one after another, the oldest first, a second
-// apart. A dead one is held for alive for another second and a half, so there is
-// always one in the list, at the same place. No caller may be given a dead one
-// for more than a few seconds on end: it could not open a flow meanwhile.
+// Guards against callers that can't open flows during a rolling replacement. The
+// balancers are replaced one after another, the oldest first, one second apart. A dead
+// one counts as live for balancerTimeout, so the list nearly always contains one, at
+// the same index. No caller may be assigned a dead balancer for more than a few seconds
+// in a row.
 func TestRollingReplacementStarvesNobody(t *testing.T) {
 	host := func(n int) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 7001)
@@ -356,7 +360,7 @@
 	now := time.Now()
 	unreachable := map[netip.AddrPort]int{}
 	longest := 0
-	for first := 1; first < 60; first++ { // first..first+2 live, first-1 has just died
+	for first := 1; first < 60; first++ { // balancers first to first+2 are live, first-1 has just died
 		for ms := 0; ms < 1000; ms += 250 {
 			for n := first; n < first+3; n++ {
 				p.recordHeartbeat(host(n), 1, now)
@@ -375,12 +379,13 @@
 		}
 	}
 	if longest > 4 {
-		t.Errorf("a caller's answers went to a dead balancer for %d s on end", longest)
+		t.Errorf("datagrams to a caller went to a dead balancer for %d s in a row", longest)
 	}
 }
 
-// A balancer falls silent. Only the flows that went through it may move: a moved
-// flow's datagrams overtake one another, which costs it speed.
+// Guards against a silent balancer that moves the flows of others. Only its own flows
+// may move, since the datagrams of a moved flow are reordered, which reduces its
+// throughput.
 func TestOneSilentBalancerMovesItsOwnFlowsOnly(t *testing.T) {
 	var p paths
 	now := time.Now()
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -1,9 +1,10 @@
-// This file places requests. A request runs at the own upstream if a slot is
-// free, else at a sibling that has one, else it waits here, and tries one more
-// sibling while it waits. What reaches a sibling this way is run or refused at
-// once, never queued twice or passed again, so there are no loops and at most
-// two passes. Only a refusal that proves that nothing ran lets a request be sent
-// again. Given up: a global order of waiting requests; each agent has its own.
+// This file dispatches requests. A request runs on the agent's own upstream if a slot
+// is free there, otherwise on a sibling's that has one. If there is none, the request
+// waits here and is offered to one more sibling meanwhile. A sibling runs or refuses
+// such a request at once; it never queues it and never passes it on, so there are no
+// loops and at most two passes. A request is sent again only if a refusal proves that
+// it did not run, or if its method only reads. Limitation: waiting requests have no
+// global order; each agent has its own queue.
 
 package agent
 
@@ -25,33 +26,35 @@
 )
 
 const (
-	// maxPasses bounds the siblings that one request is offered to.
+	// maxPasses limits the number of siblings that a request is offered to.
 	maxPasses = 2
-	// secondPassDelay is how long a request waits before it tries the second sibling.
+	// secondPassDelay is how long a request waits before it is offered to a second
+	// sibling.
 	secondPassDelay = 200 * time.Millisecond
-	// maxTimedBody is the longest request whose time to answer says something
-	// about the upstream.
+	// maxTimedBody is the longest request body with which the time to the response is a
+	// measure of the upstream. With longer ones it mostly measures the upload.
 	maxTimedBody = 64 << 10
 )
 
-// errShed is an upstream's answer that says that it did not run the request.
+// errShed is returned if the upstream sheds a request: its response says that it did
+// not run it.
 var errShed = fmt.Errorf("%w: shed", upstream.ErrNotRun)
 
-// job is one request on its way to an upstream.
+// job is a request on its way to an upstream.
 type job struct {
 	r    *http.Request
 	body *replayBody
 	flow upstream.FlowID
-	// passed says that a sibling sent it: it is run or refused at once.
+	// passed is set if a sibling sent the request. It is then run or refused at once.
 	passed    bool
 	holding   bundle.Holding
 	tried     map[fleet.MemberID]bool
 	passCount int
 }
 
-// safe reports whether the request may be sent again although it may have run:
-// its method only reads (RFC 9110, 9.2.1). PUT and DELETE are left out, though
-// idempotent by the letter, since back ends are seen that count them.
+// safe reports whether the request may be sent again although it may have run, because
+// its method only reads (RFC 9110, section 9.2.1). PUT and DELETE are excluded: they
+// are defined as idempotent, but some back ends count them.
 func (j *job) safe() bool {
 	switch j.r.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
@@ -60,16 +63,18 @@
 	return false
 }
 
-// response is an upstream's response that still has to be read.
+// response is an upstream's response whose body is still to be read.
 type response struct {
 	*http.Response
-	// relayed says that the answer is a home's, with its outcome header.
+	// relayed is set if the response comes from the home of an idempotency key. Its
+	// outcome header is then kept.
 	relayed bool
-	// finish must be called when the body was read, with the error that cut it.
+	// finish must be called once the body was read, with the error that interrupted the
+	// reading, if any.
 	finish func(error)
 }
 
-// dispatcher places requests for one service.
+// dispatcher selects the upstream that runs a request, for the requests of one service.
 type dispatcher struct {
 	gate           *upstream.Gate
 	client         *upstream.Client
@@ -87,12 +92,13 @@
 	counts         *RequestCounts
 }
 
-// RequestCounts are what became of requests.
+// RequestCounts counts requests by what happened to them.
 type RequestCounts struct {
 	Placed, Passed, Refused, Unknown, Replayed, ToHome, Cut atomic.Uint64
 }
 
-// place returns the answer to the job or the refusal.
+// place runs the job on an upstream and returns the response, or the refusal as an
+// error.
 func (d *dispatcher) place(ctx context.Context, j *job) (*response, error) {
 	if d.disabledGuards.Has(guard.Slots) {
 		d.gate.AcquireAnyway()
@@ -113,10 +119,10 @@
 	return d.waitForSlot(ctx, j)
 }
 
-// isLeaving reports whether the upstream may get no new work.
+// isLeaving reports whether the upstream must not get new work.
 func (d *dispatcher) isLeaving() bool { return d.leaving.Load() }
 
-// waitForSlot queues for a slot and tries another sibling on the way.
+// waitForSlot queues the job for a slot and offers it to another sibling meanwhile.
 func (d *dispatcher) waitForSlot(ctx context.Context, j *job) (*response, error) {
 	queue := d.timeouts.Load().Queue
 	err := d.gate.Acquire(ctx, j.flow, min(secondPassDelay, queue))
@@ -135,7 +141,8 @@
 	return nil, refuseFull(err.Error())
 }
 
-// passOrRefuse passes the job on; if no sibling takes it, it is refused as given.
+// passOrRefuse passes the job to a sibling. If no sibling takes it, it returns the
+// given refusal.
 func (d *dispatcher) passOrRefuse(ctx context.Context, j *job, refused *refusal) (*response, error) {
 	if a, err := d.passToSibling(ctx, j); a != nil || !isNotRun(err) {
 		return a, err
@@ -152,7 +159,7 @@
 	return errors.Is(err, upstream.ErrNotRun)
 }
 
-// runLocally sends the job to the own upstream; a slot is held.
+// runLocally sends the job to the agent's own upstream. A slot must have been acquired.
 func (d *dispatcher) runLocally(ctx context.Context, j *job) (*response, error) {
 	body, ok := j.body.reader()
 	if !ok {
@@ -179,21 +186,23 @@
 	return d.handleResponse(ctx, j, a, upstream.Sign{Kind: upstream.SignGood, Began: start}), nil
 }
 
-// newRequestID returns an id that no other run of a request has. Two agents count the
-// same numbers, and may have begun in the same microsecond; were their ids the
-// same, an answer that strays from one to the other would pass for its own.
+// newRequestID returns an ID that no other attempt to run a request has. It contains a
+// hash of the agent's ID, since two agents may have started in the same microsecond and
+// use the same sequence numbers. If their IDs were the same, a response that reached
+// the wrong agent would be accepted as its own.
 func (d *dispatcher) newRequestID() upstream.RequestID {
 	self := fleet.HashOf([]byte(d.siblings.self))
 	return upstream.RequestID(fmt.Sprintf("%x-%x-%d", self, uint64(d.incarnation), d.seq.Add(1)))
 }
 
-// handleFailure gives the slot back after the upstream gave no answer.
+// handleFailure releases the slot after the upstream failed to respond, and passes the
+// job to a sibling if it may be sent again.
 func (d *dispatcher) handleFailure(ctx context.Context, j *job, began time.Time, err error) (*response, error) {
 	sign := upstream.Sign{Kind: upstream.SignBad, Began: began}
 	var long *http.MaxBytesError
 	tooLarge := errors.As(err, &long)
 	if (ctx.Err() != nil || tooLarge) && !errors.Is(err, errShed) {
-		sign.Kind = upstream.SignNone // the caller's doing
+		sign.Kind = upstream.SignNone // caused by the caller
 	}
 	var u *upstream.UnfinishedError
 	if errors.As(err, &u) {
@@ -221,16 +230,17 @@
 	return d.passOrRefuse(ctx, j, refused)
 }
 
-// handleResponse wires the end of the answer to the slot.
+// handleResponse returns the response with a finish function that releases the slot. A
+// feed's slot is released at once.
 func (d *dispatcher) handleResponse(ctx context.Context, j *job, a *http.Response, sign upstream.Sign) *response {
 	if a.StatusCode >= http.StatusBadGateway && a.StatusCode <= http.StatusGatewayTimeout {
 		sign.Kind = upstream.SignBad
 	}
 	feed := j.holding == bundle.HoldingConnection
 	if feed {
-		d.release(sign) // a feed has started and now mostly waits
+		d.release(sign) // a feed that has started is mostly idle
 	}
-	body := a.Body // an order's answer is read into another one
+	body := a.Body // record may replace a.Body
 	return &response{Response: a, finish: func(err error) {
 		d.running.Add(-1)
 		body.Close()
@@ -249,8 +259,8 @@
 	}}
 }
 
-// releaseAfter gives the slot of a request that was broken off back when its upstream
-// has stopped working on it, at once if it has.
+// releaseAfter releases the slot of an aborted request once its upstream has stopped
+// working on it. A nil end means that it has stopped already.
 func (d *dispatcher) releaseAfter(end upstream.End, s upstream.Sign) {
 	if end == nil {
 		d.release(s)
@@ -278,12 +288,15 @@
 		slog.String("target", target), slog.Bool("passed", j.passed))
 }
 
-// hopByHopHeaders are of one connection and go no further (RFC 9110, 7.6.1).
+// hopByHopHeaders apply to a single connection and are not forwarded (RFC 9110, section
+// 7.6.1).
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-// internalHeaders are of the fleet; a caller can't set them.
+// internalHeaders are used within the fleet. They are removed from callers' requests.
 var internalHeaders = []string{HeaderOutcome, headerFree, headerPassed, headerFlow, headerService, upstream.HeaderRequest}
 
+// newForwardedRequest returns a copy of the request, without hop-by-hop and internal
+// headers, to send to an upstream or another agent.
 func newForwardedRequest(ctx context.Context, r *http.Request, body interface {
 	Read([]byte) (int, error)
 	Close() error
@@ -299,15 +312,15 @@
 	return o
 }
 
-// retryBudget bounds the requests that are sent again to a share of the fresh
-// ones. Without it, an upstream that refuses everything under overload would
-// make each request cost two, and the load would rise as the service fails.
+// retryBudget limits retries to a fraction of the new requests. Without it, an
+// overloaded upstream that refuses everything would double the cost of each request,
+// and the load would rise as the service fails.
 type retryBudget struct {
 	tokens atomic.Int64
 }
 
 const (
-	retryCost      = 10 // each fresh request earns one, so a tenth may be retried
+	retryCost      = 10 // each new request earns one token, so one in ten may be retried
 	maxRetryTokens = 100 * retryCost
 )
 
--- a/agent/dispatch_test.go
+++ b/agent/dispatch_test.go
@@ -17,7 +17,8 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// slowToStop is an upstream that notices a caller's end and stops later, when it is let go.
+// slowToStop is an upstream that notices that its request was aborted, and stops
+// working on it later, when it is released.
 type slowToStop struct {
 	began, aborted, release, stopped chan struct{}
 	answerFirst                      bool
@@ -40,13 +41,13 @@
 }
 
 // Guards against a slot that is given to the next request while the upstream still
-// works on one that was broken off.
+// works on an aborted one.
 func TestSlotOfABrokenRequestIsFreeWhenTheUpstreamHasStopped(t *testing.T) {
-	for name, answerFirst := range map[string]bool{"before its answer": false, "in mid-answer": true} {
+	for name, answerFirst := range map[string]bool{"before the response": false, "during the response": true} {
 		t.Run(name, func(t *testing.T) {
 			abortAndWait(t, upstream.ProtocolHTTP1, answerFirst, func(d *dispatcher, up *slowToStop) {
 				if d.gate.TryAcquire() == nil {
-					t.Error("the slot was given away while the upstream worked on the request before")
+					t.Error("the slot was free while the upstream still worked on the aborted request")
 				}
 				close(up.release)
 			})
@@ -54,18 +55,19 @@
 	}
 }
 
-// Guards against slots that are lost, one for each request that was broken off, as long
-// as the connection lives that it shared with others.
+// Guards against slots that are lost with aborted requests. With HTTP/2, requests share
+// a connection, so an aborted one does not close it, and its slot must come back while
+// the connection stays open.
 func TestSlotOfABrokenRequestComesBackOverASharedConnection(t *testing.T) {
-	for name, answerFirst := range map[string]bool{"before its answer": false, "in mid-answer": true} {
+	for name, answerFirst := range map[string]bool{"before the response": false, "during the response": true} {
 		t.Run(name, func(t *testing.T) {
 			abortAndWait(t, upstream.ProtocolH2C, answerFirst, func(_ *dispatcher, up *slowToStop) { close(up.release) })
 		})
 	}
 }
 
-// Guards against the next request reaching an upstream that shares its connections
-// before it has seen the reset of the one that had the slot.
+// Guards against a request that reaches an upstream over a shared connection before the
+// upstream has seen the reset of the request that had the slot.
 func TestSlotOfAResetRequestIsHeldForAMoment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcherOver(1, 1, func(r *http.Request) (*http.Response, error) {
@@ -86,8 +88,8 @@
 	})
 }
 
-// abortAndWait breaks a request off, runs then once the upstream has noticed, and
-// waits for the slot.
+// abortAndWait aborts a request, calls then once the upstream has noticed, and waits
+// for the slot.
 func abortAndWait(t *testing.T, p upstream.Protocol, answerFirst bool, then func(*dispatcher, *slowToStop)) {
 	up := newSlowToStop(answerFirst)
 	s := httptest.NewUnstartedServer(up)
@@ -114,10 +116,11 @@
 	}
 }
 
-// slotTimeout bounds the wait for a slot that is never given back.
+// slotTimeout limits the wait for a slot, so that a slot that never comes back fails
+// the test.
 const slotTimeout = 10 * time.Second
 
-// abortRequest places a request and reads its answer until the context ends.
+// abortRequest places a request and reads its response until the context ends.
 func abortRequest(ctx context.Context, d *dispatcher) {
 	a, err := d.place(ctx, newReadJob(ctx, d))
 	if err != nil {
@@ -128,7 +131,7 @@
 	a.finish(errors.Join(err, ctx.Err()))
 }
 
-// roundTrip is a transport made of one function.
+// roundTrip is a transport that consists of one function.
 type roundTrip func(*http.Request) (*http.Response, error)
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -136,8 +139,8 @@
 	return f(r)
 }
 
-// newDispatcherOver returns a dispatcher whose upstream has so many slots, all in use at
-// once when it is warm, and is reached by the transport.
+// newDispatcherOver returns a dispatcher that reaches its upstream through the
+// transport. The upstream has the given slots, and cold of them until it is warm.
 func newDispatcherOver(slots, cold int, f roundTrip) *dispatcher {
 	d := newCluster(1, guard.Off{}).agents[0].dispatcher
 	d.client = upstream.NewClientOver(agentAddr(0), f)
@@ -146,14 +149,14 @@
 	return d
 }
 
-// newReadJob returns a job that reads, passed by a sibling.
+// newReadJob returns a job that only reads and was passed by a sibling.
 func newReadJob(ctx context.Context, d *dispatcher) *job {
 	r := httptest.NewRequestWithContext(ctx, http.MethodGet, "/screen", nil)
 	return &job{r: r, body: newReplayBody(http.NoBody), passed: true, tried: newTried(d.siblings.self)}
 }
 
-// Guards against callers that read slowly and so hide from the agent that their
-// upstream has turned cold.
+// Guards against a cold upstream that is not detected because callers read its
+// responses slowly.
 func TestSlowAnswersCountBeforeTheirCallersHaveReadThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		took := 10 * time.Millisecond
@@ -172,20 +175,20 @@
 			ask().finish(nil)
 		}
 		if n := d.gate.Load().Slots; n != 8 {
-			t.Fatalf("the warm upstream may have %d pieces of work", n)
+			t.Fatalf("the warm upstream has %d slots, want 8", n)
 		}
 		took = time.Second
 		for range 3 {
 			defer ask().finish(nil)
 		}
 		if n := d.gate.Load().Slots; n != 1 {
-			t.Errorf("after three slow answers that nobody has read it may have %d pieces of work", n)
+			t.Errorf("after three slow responses that were not read the upstream has %d slots, want 1", n)
 		}
 	})
 }
 
-// Guards against an upstream that sheds and goes on being given work, because the
-// callers of the requests that it shed have gone away.
+// Guards against an upstream that sheds requests and still gets work, because the
+// callers of the shed requests have disconnected.
 func TestShedAnswerCountsAfterItsCallerHasLeft(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	shed := false
@@ -206,9 +209,9 @@
 	}
 	shed = true
 	if _, err := d.place(ctx, newReadJob(ctx, d)); err == nil {
-		t.Fatal("a shed request was answered")
+		t.Fatal("a shed request got a response")
 	}
 	if n := d.gate.Load().Slots; n != 1 {
-		t.Errorf("the upstream that shed may have %d pieces of work", n)
+		t.Errorf("after a shed request the upstream has %d slots, want 1", n)
 	}
 }
--- a/agent/flows.go
+++ b/agent/flows.go
@@ -11,7 +11,7 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// flowTable is the open flows of an agent.
+// flowTable holds the open flows of an agent.
 type flowTable struct {
 	mu   sync.Mutex
 	next upstream.FlowID
@@ -20,7 +20,7 @@
 
 func newFlowTable() *flowTable { return &flowTable{open: map[upstream.FlowID]*quic.Conn{}} }
 
-// add holds the flow until its connection ends, then calls gone.
+// add registers the flow until its connection ends, then calls onClose.
 func (t *flowTable) add(c *quic.Conn, onClose func()) upstream.FlowID {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,9 +54,9 @@
 	}
 }
 
-// closeFlow closes a flow with its reason. Before the handshake has ended QUIC
-// may not tell a caller the reason, and the flow would look broken instead of
-// given up; so a flow that is just being opened is closed a moment later.
+// closeFlow closes a flow with a reason. QUIC can't send the reason before the
+// handshake is complete, and the flow would look broken instead of closed on purpose.
+// So closeFlow waits for the handshake.
 func closeFlow(c *quic.Conn, code quic.ApplicationErrorCode, reason string) {
 	select {
 	case <-c.HandshakeComplete():
--- a/agent/front.go
+++ b/agent/front.go
@@ -15,22 +15,23 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// Headers that tell a caller where its flow ends.
+// Response headers that name the availability zone and the agent at which the flow
+// ends.
 const (
 	HeaderZone  = "Pomeloway-Zone"
 	HeaderAgent = "Pomeloway-Agent"
 )
 
-// handler serves callers' requests and those that siblings pass on.
+// handler serves the requests of callers and those that siblings pass on.
 type handler struct {
 	*dispatcher
 	keyedRequests *keyedRequests
 	zone          bundle.ZoneID
-	// siblingRequests holds what siblings passed here until the zone goes out.
+	// siblingRequests are cancelled when the availability zone goes out.
 	siblingRequests siblingRequests
 }
 
-// flowKey is the context's key for the flow of a connection.
+// flowKey is the context key of the flow ID of a connection.
 type flowKey struct{}
 
 // ServeHTTP serves a caller's request.
@@ -39,7 +40,7 @@
 	f.serve(w, r, flow, "")
 }
 
-// peerHandler serves requests that siblings pass on.
+// peerHandler returns the handler of requests that siblings pass on.
 func (f *handler) peerHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		passed := r.Header.Get(headerPassed)
@@ -49,8 +50,8 @@
 			return
 		}
 		s := f.service.Load()
-		// Two agents may disagree on the bundle, and an address may have passed
-		// to another service; a letter must not run at scan intake for it.
+		// Agents may disagree on the bundle, and an address may have been reassigned to
+		// another service. A request must not run on an upstream of another service.
 		if s == nil || passed == "" || r.Header.Get(headerService) != strconv.Itoa(int(s.ID)) {
 			(&refusal{http.StatusMisdirectedRequest, "service", "not an agent of this service", "", OutcomeNotRun, 0}).write(w)
 			return
@@ -65,7 +66,7 @@
 	})
 }
 
-// freeSlots returns the slots that siblings may count on.
+// freeSlots returns the number of free slots that is reported to siblings.
 func (f *handler) freeSlots() int {
 	if f.isLeaving() {
 		return 0
@@ -108,8 +109,8 @@
 	f.writeResponse(ctx, w, j, a, err)
 }
 
-// limitBody limits the request's body; it returns false if the body is known to be
-// too long. One of unknown length is cut when it gets there.
+// limitBody limits the size of the request body. It returns false if the body is known
+// to be too long. A body of unknown length is cut off at the limit while it is read.
 func limitBody(w http.ResponseWriter, r *http.Request, limit bundle.Size) bool {
 	if limit == 0 {
 		return true
@@ -121,7 +122,7 @@
 	return true
 }
 
-// writeResponse writes the answer or the refusal.
+// writeResponse writes the response, or the refusal if err is set.
 func (f *handler) writeResponse(ctx context.Context, w http.ResponseWriter, j *job, a *response, err error) {
 	if err != nil {
 		f.refuse(w, j, err)
@@ -136,15 +137,15 @@
 	err = upstream.Stream(w, c.Flush, a.Body)
 	a.finish(err)
 	if err != nil {
-		// A cut answer must look cut: ending it cleanly would show a teacher
-		// half a letter as a whole one.
+		// The response was cut off. Abort the stream, since a clean end would make the
+		// response look complete.
 		f.counts.Cut.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// copyResponseHeader copies an answer's header but for what is of one connection
-// or of the fleet: an upstream must not be able to say "not run" in its name.
+// copyResponseHeader copies a response's header without hop-by-hop and internal fields.
+// An upstream must not be able to set the outcome "not-run" in the fleet's name.
 func copyResponseHeader(to http.Header, a *response) {
 	for k, v := range a.Header {
 		if k != headerFree {
@@ -181,8 +182,9 @@
 	r.write(w)
 }
 
-// requestContext returns the context in which the request must be answered: what the
-// caller asks for within what the bundle allows. A feed has only the caller's.
+// requestContext returns the context in which the request must be answered. Its timeout
+// is the caller's, limited by the bundle's; a feed has only the caller's. It returns
+// false if the caller's timeout is invalid.
 func (f *handler) requestContext(r *http.Request, h bundle.Holding) (context.Context, context.CancelFunc, bool) {
 	limit := f.timeouts.Load().Request
 	text := r.Header.Get(upstream.HeaderTimeout)
--- a/agent/front_test.go
+++ b/agent/front_test.go
@@ -16,9 +16,9 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// A clerk uploads a scan to an agent that is full; its sibling is full, too, and
-// refuses after it has read a part. The scan must not be refused for that: it is
-// kept whole, and sent when a slot is free.
+// Guards against an upload that is refused because a full sibling has read part of it.
+// The agent and its siblings are all full. The upload must be kept whole and run when a
+// slot is free.
 func TestUploadIsNotSpentOnAFullSibling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(3, guard.Off{})
@@ -39,9 +39,10 @@
 	})
 }
 
-// An upstream dies while a teacher's screen is read from it. Reading it again
-// elsewhere harms nobody, so the screen must come; an order, which may have run,
-// must not be sent again, and nothing may be when the retries are spent.
+// Guards against a request that runs twice, and against a read that fails needlessly.
+// An upstream dies while a request runs. A read may be sent again and must succeed
+// elsewhere; an order may have run and must not be sent again, and nothing may be once
+// the retry budget is used up.
 func TestOnlyReadingIsRepeatedAfterAnUnknownOutcome(t *testing.T) {
 	for name, x := range map[string]struct {
 		method       string
@@ -49,11 +50,11 @@
 		status       int
 		tries        int
 	}{
-		"a screen":                      {http.MethodGet, false, http.StatusOK, 2},
-		"an order without a key":        {http.MethodPost, false, http.StatusBadGateway, 1},
-		"an update":                     {http.MethodPut, false, http.StatusBadGateway, 1},
-		"a screen, all retries spent":   {http.MethodGet, true, http.StatusBadGateway, 1},
-		"what an upstream may not know": {"PROPFIND", false, http.StatusBadGateway, 1},
+		"read":                       {http.MethodGet, false, http.StatusOK, 2},
+		"order without a key":        {http.MethodPost, false, http.StatusBadGateway, 1},
+		"PUT":                        {http.MethodPut, false, http.StatusBadGateway, 1},
+		"read, retry budget used up": {http.MethodGet, true, http.StatusBadGateway, 1},
+		"uncommon method":            {"PROPFIND", false, http.StatusBadGateway, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -76,7 +77,8 @@
 	}
 }
 
-// dyingUpstream is the way to an upstream that dies with each request it has read.
+// dyingUpstream is the transport to an upstream that dies with each request that it has
+// read.
 type dyingUpstream struct{ asked int }
 
 // RoundTrip reads the request and fails.
@@ -86,9 +88,9 @@
 	return nil, errConnCut
 }
 
-// A clerk picks a film in place of a scan. The service takes bodies of 64 kB: the
-// film must be refused with the reason, at once if its length is said, and its
-// upstream must not be held for broken because of it.
+// Guards against a body over the limit that reaches the upstream or makes it look
+// broken. A body that is too long must be refused with the reason, at once if its
+// length is declared, and the upstream must not be considered cold because of it.
 func TestBodiesOverTheLimitAreRefused(t *testing.T) {
 	const maxBody = 64 << 10
 	for name, x := range map[string]struct {
@@ -97,10 +99,10 @@
 		status   int
 		outcome  Outcome
 	}{
-		"as long as allowed, said":   {maxBody, true, http.StatusOK, ""},
-		"as long as allowed, unsaid": {maxBody, false, http.StatusOK, ""},
-		"longer, said":               {maxBody + 1, true, http.StatusRequestEntityTooLarge, OutcomeNotRun},
-		"longer, unsaid":             {maxBody + 1, false, http.StatusRequestEntityTooLarge, OutcomeUnknown},
+		"at the limit, declared":     {maxBody, true, http.StatusOK, ""},
+		"at the limit, undeclared":   {maxBody, false, http.StatusOK, ""},
+		"over the limit, declared":   {maxBody + 1, true, http.StatusRequestEntityTooLarge, OutcomeNotRun},
+		"over the limit, undeclared": {maxBody + 1, false, http.StatusRequestEntityTooLarge, OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -119,19 +121,19 @@
 				if rec.Code != x.status || Outcome(rec.Header().Get(HeaderOutcome)) != x.outcome {
 					t.Errorf("status %d, outcome %q: %.200s", rec.Code, rec.Header().Get(HeaderOutcome), rec.Body)
 				}
-				time.Sleep(slotTimeout) // a request that was broken off holds its slot for a moment
+				time.Sleep(slotTimeout) // an aborted request holds its slot for a moment
 				if l := f.gate.Load(); l.Slots != 3 || l.Running != 0 {
-					t.Errorf("the upstream is held for cold, or a slot is lost: %+v", l)
+					t.Errorf("the upstream is considered cold, or a slot is lost: %+v", l)
 				}
 			})
 		})
 	}
 }
 
-// A feed was passed to a sibling in another zone, which goes out. The flow ends at
-// an agent whose zone is in, so nothing closes it, and the zone's upstream sent on
-// (seen after 3.2 s). It must be ended, and nothing more be taken, until the zone
-// is back.
+// Guards against a feed that continues in an availability zone that is out. A feed was
+// passed to a sibling in that zone. Its flow ends at an agent whose zone is in, so
+// closing flows did not end it, and the upstream still sent after 3.2 s. The feed must
+// be cut off, and no request be taken until the zone is back.
 func TestWhatWasPassedToAZoneEndsWithIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(1, guard.Off{})
@@ -145,7 +147,7 @@
 			rec = httptest.NewRecorder()
 			defer func() {
 				if recover() == http.ErrAbortHandler {
-					rec.Code = 0 // cut, as its reader sees it
+					rec.Code = 0 // the response was cut off
 				}
 			}()
 			f.peerHandler().ServeHTTP(rec, r)
@@ -159,11 +161,11 @@
 		out.Store(true)
 		f.siblingRequests.syncZone(&out)
 		if code := <-done; code != 0 || time.Since(start) > time.Second {
-			t.Errorf("the feed ended after %v with status %d; it must be cut at once", time.Since(start), code)
+			t.Errorf("the feed ended after %v with status %d; it must be cut off at once", time.Since(start), code)
 		}
 		for passed, want := range map[string]Outcome{passedWork: OutcomeNotRun, passedHome: OutcomeUnknown} {
 			if got := ask(passed).Header().Get(HeaderOutcome); Outcome(got) != want {
-				t.Errorf("%s to a zone that is out: outcome %q, want %q", passed, got, want)
+				t.Errorf("%s passed to a zone that is out: outcome %q, want %q", passed, got, want)
 			}
 		}
 		out.Store(false)
@@ -172,7 +174,7 @@
 		synctest.Wait()
 		select {
 		case code := <-done:
-			t.Errorf("after the zone's return a feed ended with status %d", code)
+			t.Errorf("after the zone came back a feed ended with status %d", code)
 		default:
 		}
 		out.Store(true)
@@ -181,10 +183,10 @@
 	})
 }
 
-// endlessUpstream is the way to an upstream that answers and never ends.
+// endlessUpstream is the transport to an upstream whose responses do not end.
 type endlessUpstream struct{}
 
-// RoundTrip returns an answer whose body ends with the request's context.
+// RoundTrip returns a response whose body ends with the request's context.
 func (endlessUpstream) RoundTrip(r *http.Request) (*http.Response, error) {
 	httptrace.ContextClientTrace(r.Context()).GotConn(httptrace.GotConnInfo{})
 	a := newResponse(http.StatusOK, r.Header.Get(upstream.HeaderRequest), "")
--- a/agent/handover.go
+++ b/agent/handover.go
@@ -18,21 +18,22 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// Headers between agents.
+// Headers of requests between agents.
 const (
 	headerPassed  = "Pomeloway-Passed"
 	headerFlow    = "Pomeloway-Flow"
 	headerService = "Pomeloway-Service"
 )
 
-// Values of headerPassed.
+// Values of headerPassed: passedWork for a job offered to a sibling, passedHome for a
+// request sent to its key's home.
 const (
 	passedWork = "work"
 	passedHome = "home"
 )
 
-// passToSibling offers the job to one more sibling, and to a second if the first was lost
-// with a request that only reads.
+// passToSibling offers the job to one more sibling. If the outcome there is unknown and
+// the job's method only reads, it offers the job to another one.
 func (d *dispatcher) passToSibling(ctx context.Context, j *job) (*response, error) {
 	if j.passCount >= maxPasses {
 		return nil, refuseFull("no sibling has a free slot")
@@ -62,20 +63,22 @@
 	return nil, err
 }
 
-// large reports whether the job's body is too long to be sent a second time.
+// large reports whether the body may be too long to be sent a second time.
 func (j *job) large() bool { return j.r.ContentLength < 0 || j.r.ContentLength > maxReplayBytes }
 
-// pathFreeSlots is where a sibling says how many slots are free, in headerFree.
+// pathFreeSlots is the path at which an agent reports its number of free slots, in
+// headerFree.
 const pathFreeSlots = "/room"
 
-// freeSlotsTimeout bounds the question, which is worth less than a slot.
+// freeSlotsTimeout limits the query for free slots. A free slot is not worth a longer
+// wait.
 const freeSlotsTimeout = time.Second
 
 // hasFreeSlot asks a sibling whether it has a free slot.
 //
-// A sibling that refuses an upload has read some of it by then, and the upload
-// can't be offered to anybody else; it shows as uploads refused while slots are
-// free. So a long one is sent only to a sibling that says to have room.
+// A sibling that refuses an upload has already read part of it, and the upload can't be
+// offered to any other agent: uploads would be refused while slots are free. So a long
+// body is sent only to a sibling that reports a free slot.
 func (d *dispatcher) hasFreeSlot(ctx context.Context, m fleet.Member) bool {
 	ctx, stop := context.WithTimeout(ctx, freeSlotsTimeout)
 	defer stop()
@@ -94,7 +97,7 @@
 	return err == nil && n > 0
 }
 
-// callPeer makes the request of another agent.
+// callPeer sends the job to another agent and returns its response.
 func (d *dispatcher) callPeer(ctx context.Context, j *job, peer, passed, key string) (*http.Response, error) {
 	body, ok := j.body.reader()
 	if !ok {
@@ -120,8 +123,8 @@
 	return nil, err
 }
 
-// neverSent reports whether a failed call to a peer proves that the peer did
-// not take the request: no connection came about, or the peer said so.
+// neverSent reports whether a failed call to a peer proves that the peer did not
+// process the request: no connection was established, or the peer rejected the request.
 func neverSent(err error) bool {
 	var op *net.OpError
 	var idle *quic.IdleTimeoutError
@@ -140,7 +143,8 @@
 	return false
 }
 
-// readPeerResponse tells a peer's refusal from its upstream's answer.
+// readPeerResponse returns the response of a peer's upstream, or the peer's refusal as
+// an error.
 func (d *dispatcher) readPeerResponse(a *http.Response, err error) (*response, error) {
 	switch {
 	case isNotRun(err):
@@ -163,6 +167,7 @@
 	}}, nil
 }
 
+// newTried returns a set of tried members that contains the given one.
 func newTried(id fleet.MemberID) map[fleet.MemberID]bool {
 	return map[fleet.MemberID]bool{id: true}
 }
--- a/agent/history_test.go
+++ b/agent/history_test.go
@@ -21,20 +21,20 @@
 	"pomeloway.example/pomeloway/idempotency"
 )
 
-// reply is what a caller heard of one sending of its order.
+// reply is what a caller received for one attempt to send its order.
 type reply struct {
-	outcome Outcome // empty for an answer
+	outcome Outcome // empty for a response of the upstream
 	body    string
 }
 
-// orderModel is one order under one key: it has run or not. A sending that is
-// answered has run it, once; "not run" is only true while it has not; after
-// "unknown" both are possible.
+// orderModel models one order (a request with an idempotency key): it has run or not.
+// An attempt with a response has run it, once; "not-run" is true only while it has not
+// run; after "unknown" both states are possible.
 var orderModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{0} },
 	Step: func(state, input, output any) []any {
 		ran := state.(int)
-		if n, ok := output.(int); ok { // the ledger at the end
+		if n, ok := output.(int); ok { // the number of runs, checked at the end
 			if n == ran {
 				return []any{ran}
 			}
@@ -56,7 +56,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// send places the order at an agent and returns what the caller heard.
+// send sends the order to an agent and returns the reply.
 func (w *cluster) send(ctx context.Context, i int, order, key string) reply {
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "/order", strings.NewReader(order))
 	r.Header.Set(idempotency.Header, key)
@@ -71,7 +71,8 @@
 	return o.sealer.Load().Seal(idempotency.Key{Home: o.home, Life: o.incarnation, Service: 1, Expires: time.Now().Add(time.Minute), Nonce: idempotency.NewNonce()})
 }
 
-// simulate runs callers and faults, and returns why the history can't be, if so.
+// simulate runs callers and faults, and returns an error for each order whose history
+// is not valid.
 func simulate(ctx context.Context, seed uint64, disabledGuards guard.Off) error {
 	w := newCluster(seed, disabledGuards)
 	start := time.Now()
@@ -94,7 +95,7 @@
 	return errors.Join(wrong...)
 }
 
-// injectFaults restarts and drains agents while callers order.
+// injectFaults restarts and drains agents while callers send orders.
 func (w *cluster) injectFaults() {
 	for range 4 {
 		time.Sleep(time.Duration(w.randomN(60)) * time.Millisecond)
@@ -109,8 +110,8 @@
 	}
 }
 
-// placeAndCheck places one placeAndCheck, some of its sendings at once, until it is answered or
-// enough were tried, and checks the history of what was told.
+// placeAndCheck sends one order several times, some of them concurrently, and checks
+// the history of the replies.
 func (w *cluster) placeAndCheck(ctx context.Context, id string, start time.Time) error {
 	key := w.key(w.randomN(clusterAgents))
 	var mu sync.Mutex
@@ -121,7 +122,7 @@
 		defer mu.Unlock()
 		ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: id, Call: int64(call), Output: out, Return: int64(time.Since(start))})
 		if o, ok := out.(reply); ok && o.outcome == "" && o.body != id {
-			wrong = fmt.Errorf("%s got the answer of %q", id, o.body)
+			wrong = fmt.Errorf("%s received the response of %q", id, o.body)
 		}
 	}
 	for range 3 {
@@ -148,12 +149,13 @@
 	}
 	m := orderModel.ToModel()
 	if !porcupine.CheckOperations(m, ops) {
-		return fmt.Errorf("%s: no history explains what was told: %+v", id, ops)
+		return fmt.Errorf("%s: the replies have no valid history: %+v", id, ops)
 	}
 	return nil
 }
 
-// histories is how many runs are checked; POMELOWAY_HISTORIES asks for more.
+// histories returns the number of simulations to run. POMELOWAY_HISTORIES overrides the
+// default.
 func histories(t *testing.T) uint64 {
 	n, err := strconv.ParseUint(cmp.Or(os.Getenv("POMELOWAY_HISTORIES"), "1000"), 10, 64)
 	if err != nil {
@@ -162,11 +164,11 @@
 	return n
 }
 
-// Clerks and buyers send orders while agents restart at their addresses, drain
-// and come back, upstreams refuse, shed, cut and cross their answers, and calls
-// between agents are lost before or after they took effect. Whatever is told
-// must be true: each order runs once at most, "not run" is so, and an answer is
-// the order's own.
+// Guards against orders that run twice and against wrong outcomes and responses.
+// Callers send orders while agents restart at their addresses, drain and return,
+// upstreams refuse, shed, cut off and swap responses, and calls between agents are lost
+// before or after they took effect. Each order must run at most once, an order reported
+// as "not-run" must not have run, and a response must be that of its order.
 func TestHistoriesOfOrdersAreExplained(t *testing.T) {
 	for seed := range histories(t) {
 		synctest.Test(t, func(t *testing.T) {
@@ -177,15 +179,16 @@
 	}
 }
 
-// The checker must find each planted fault, or its silence above says nothing.
+// Guards against a checker that misses faults: it must find the fault that appears when
+// any one of the guards is switched off.
 func TestCheckerFindsPlantedFaults(t *testing.T) {
 	for name, what := range map[guard.Name]string{
-		guard.Retry:   "an unknown outcome is sent again",
-		guard.Life:    "a home forgets its incarnation",
-		guard.Match:   "answers go to whoever's connection they came on",
-		guard.Journal: "a key is accepted twice",
-		guard.Home:    "another agent runs what a key's home should",
-		guard.Outcome: "what is not known is told as not run",
+		guard.Retry:   "a request with an unknown outcome is sent again",
+		guard.Life:    "a home accepts keys of its earlier incarnation",
+		guard.Match:   "a response is accepted for another request",
+		guard.Journal: "a key is used for two runs",
+		guard.Home:    "an agent other than the key's home runs the request",
+		guard.Outcome: "an unknown outcome is reported as not run",
 	} {
 		t.Run(string(name), func(t *testing.T) {
 			const maxRuns = 300
--- a/agent/leave.go
+++ b/agent/leave.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// goAwayDelay is how long after it said so a leaving agent still serves new
-	// requests of its old flows by passing them on; then callers are told to
-	// open new flows.
+	// goAwayDelay is how long a leaving agent still serves new requests on its open
+	// flows, by passing them on. Then it tells callers to open new flows.
 	goAwayDelay = 2 * time.Second
-	// journalPollInterval is how often the end of the journal's duty is looked at.
+	// journalPollInterval is how often a leaving agent checks whether the last key that
+	// it issued has expired.
 	journalPollInterval = 200 * time.Millisecond
 	healthInterval      = time.Second
-	// noDrainDelay is how long an agent without its drain goes on before it drops
-	// everything, in a trial of the report.
+	// noDrainDelay is how long an agent whose drain guard is switched off continues
+	// before it stops without draining. Only trials switch it off.
 	noDrainDelay = 5 * time.Second
 )
 
-// leave waits for the stop and leaves: no new flows, no new work for the
-// upstream, then no new requests, and at last, when everything that runs has
-// ended, no process.
+// leave waits for the stop signal and drains the agent. First the agent accepts no new
+// flows and gives its upstream no new work, then it accepts no new requests, and it
+// stops when everything that runs has ended.
 func (a *Agent) leave(ctx, stopped context.Context) error {
 	select {
 	case <-stopped.Done():
@@ -57,16 +57,18 @@
 	clock.Sleep(ctx, goAwayDelay)
 	drainCtx, stop := context.WithTimeout(ctx, a.opts.Drain)
 	defer stop()
-	a.h3.Shutdown(drainCtx) // GOAWAY, then waits for the running requests
+	a.h3.Shutdown(drainCtx) // sends GOAWAY, then waits for the running requests
 	a.waitForKeys(drainCtx)
 	a.Node.Leave()
 	return nil
 }
 
-// waitForKeys goes on answering for the idempotency keys that were issued here.
+// waitForKeys waits until the idempotency keys that the agent issued have expired and
+// no request runs.
 //
-// If the home went at once, a retry of an order whose answer was lost would
-// find nobody who knows of it, and end as unknown for a planned stop.
+// If the home of a key stopped earlier, a retry of a request whose response was lost
+// would find no agent that knows the outcome: a planned stop would cause unknown
+// outcomes.
 func (a *Agent) waitForKeys(ctx context.Context) {
 	for time.Now().Before(a.handler.keyedRequests.journal.Until()) || a.disp.running.Load() > 0 {
 		if !clock.Sleep(ctx, journalPollInterval) {
@@ -75,9 +77,9 @@
 	}
 }
 
-// watchHealth notices that the upstream itself drains. The end point may lag or
-// mislead, so it is believed in one direction only: new work goes elsewhere
-// while it says 503, and nothing is believed of an upstream that says all is well.
+// watchHealth detects that the upstream itself drains. The health endpoint may lag or
+// be wrong, so only a 503 is acted on: while it lasts, new work goes elsewhere. Other
+// results are not taken as proof that the upstream is healthy.
 func (a *Agent) watchHealth(ctx context.Context) error {
 	if a.opts.Health == "" {
 		<-ctx.Done()
--- a/agent/openings.go
+++ b/agent/openings.go
@@ -1,10 +1,12 @@
-// This file remembers what became of openings. One opening is several
-// datagrams, sprayed over balancers and repeated by the caller, and all of them
-// must end at one agent; so an agent keeps, for some seconds, which it took and
-// to whom it passed the others, whatever candidates their next datagram names. The table is bounded and kept in two
-// generations: when the young one is full or old, it becomes the old one and the
-// old one is dropped. An operation costs one or two map look-ups; given up is an
-// exact lifetime, which is between one and two periods.
+// This file records the decisions on openings. An opening has several datagrams, which
+// arrive through different balancers and are retransmitted by the caller, and all of
+// them must end at one agent. So an agent remembers for some seconds which openings it
+// took and to which agent it passed the others, whatever candidates their later
+// datagrams name. The table is bounded and has two generations: when the current one is
+// full or old, it becomes the previous one, and the entries of the previous one are
+// dropped. An operation costs one or two map lookups. Limitation: the lifetime of an
+// entry is not exact; it is between one and two periods, or shorter if the table fills
+// up.
 
 package agent
 
@@ -14,19 +16,20 @@
 	"time"
 )
 
-// decision is where an opening went.
+// decision is what an agent decided on an opening.
 type decision uint8
 
 const (
 	decisionNone decision = iota
 	decisionTaken
 	decisionPassed
-	// decisionReturned: the agent that passed it on is less busy, and has it back.
+	// decisionReturned: the agent that had passed the opening on is less busy and got
+	// it back.
 	decisionReturned
 	decisionRefused
 )
 
-// placement is a place and the agent that it went to.
+// placement is a decision and the agent that the opening was sent to, if any.
 type placement struct {
 	decision decision
 	target   netip.AddrPort
@@ -37,12 +40,15 @@
 	maxOpenings   = 32_768
 )
 
-// openingKey names an openingKey by its first connection ID and its caller.
+// openingKey identifies an opening by a hash of its first connection ID and by its
+// caller.
 type openingKey struct {
 	connIDHash uint64
 	caller     netip.AddrPort
 }
 
+// openingTable maps openings to their placements for a limited time. Its zero value is
+// ready to use.
 type openingTable struct {
 	mu                sync.Mutex
 	current, previous map[openingKey]placement
@@ -75,7 +81,7 @@
 	}
 	o.previous = o.current
 	if now.Sub(o.rotatedAt) >= 2*openingPeriod {
-		o.previous = nil // both generations are from before a long quiet time
+		o.previous = nil // both generations are too old
 	}
 	o.current, o.rotatedAt = nil, now
 }
--- a/agent/options.go
+++ b/agent/options.go
@@ -20,19 +20,19 @@
 	process.Options `embed:""`
 	Service         bundle.ServiceID  `help:"Number of the service that the upstream belongs to." required:"" env:"POMELOWAY_SERVICE" group:"Place"`
 	Upstream        netip.AddrPort    `help:"Address of the upstream's HTTP port." required:"" env:"POMELOWAY_UPSTREAM" placeholder:"IP:PORT" group:"Addresses"`
-	Protocol        upstream.Protocol `help:"What the upstream speaks: ${enum}. With h2c, HTTP/2 without TLS, all feeds share some connections and take less memory." name:"upstream-protocol" enum:"http/1.1,h2c" default:"http/1.1" env:"POMELOWAY_UPSTREAM_PROTOCOL" group:"Addresses"`
+	Protocol        upstream.Protocol `help:"Protocol of the upstream: ${enum}. With h2c (HTTP/2 without TLS), feeds share a few connections and need less memory." name:"upstream-protocol" enum:"http/1.1,h2c" default:"http/1.1" env:"POMELOWAY_UPSTREAM_PROTOCOL" group:"Addresses"`
 	Health          string            `help:"Path of the upstream that answers 503 while it drains." env:"POMELOWAY_HEALTH" placeholder:"PATH" group:"Work"`
 	Certificate     string            `help:"PEM file of the certificate chain for callers." type:"path" env:"POMELOWAY_CERTIFICATE" placeholder:"FILE" group:"Keys"`
 	CertificateKey  string            `help:"PEM file of the certificate's key." type:"path" env:"POMELOWAY_CERTIFICATE_KEY" placeholder:"FILE" group:"Keys"`
 	Drain           time.Duration     `help:"Longest wait for running requests at a graceful stop." default:"4h" env:"POMELOWAY_DRAIN" group:"Work"`
 
-	// TLS takes the place of the certificate files in trials.
+	// TLS replaces the certificate files in trials.
 	TLS *tls.Config `kong:"-"`
 	// Wrap wraps the transport to the upstream in trials.
 	Wrap func(http.RoundTripper) http.RoundTripper `kong:"-"`
 }
 
-// transport returns the way to the upstream.
+// transport returns the HTTP transport to the upstream.
 func (o *Options) transport() http.RoundTripper {
 	t := upstream.NewTransport(o.Protocol)
 	if o.Wrap != nil {
@@ -41,7 +41,7 @@
 	return t
 }
 
-// Validate returns all that is wrong with the settings.
+// Validate returns all errors in the settings.
 func (o *Options) Validate() error {
 	var f settings.Faults
 	f.Join(o.Options.Validate())
@@ -62,7 +62,7 @@
 	}
 	c, err := tls.LoadX509KeyPair(o.Certificate, o.CertificateKey)
 	if err != nil {
-		return nil, eris.Wrap(err, "certificate for callers")
+		return nil, eris.Wrap(err, "load the certificate for callers")
 	}
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{c}}, nil
 }
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -18,16 +18,16 @@
 	"pomeloway.example/pomeloway/idempotency"
 )
 
-// PathKey is where a caller gets an idempotency key, by POST.
+// PathKey is the path at which a caller gets an idempotency key, by POST.
 const PathKey = "/.well-known/pomeloway/idempotency-key"
 
-// IssuedKey is the answer of PathKey.
+// IssuedKey is the body of the response to PathKey.
 type IssuedKey struct {
 	Key     string    `json:"key"`
 	Expires time.Time `json:"expires"`
 }
 
-// keyedRequests runs keyed requests at most once.
+// keyedRequests runs each request with an idempotency key at most once.
 type keyedRequests struct {
 	d           *dispatcher
 	sealer      atomic.Pointer[idempotency.Sealer]
@@ -35,11 +35,11 @@
 	home        netip.AddrPort
 	incarnation fleet.Incarnation
 	state       *fleet.State
-	// zone is the number of the agent's availability zone, for callers.
+	// zone is the number of the agent's availability zone, for the header HeaderZone.
 	zone string
 }
 
-// issueKey gives the caller a key whose home is this agent.
+// issueKey issues an idempotency key whose home is this agent.
 func (o *keyedRequests) issueKey(w http.ResponseWriter, r *http.Request) {
 	if o.d.leaving.Load() {
 		refuseFull("this agent leaves; open a new flow for a key").write(w)
@@ -55,7 +55,8 @@
 	json.NewEncoder(w).Encode(IssuedKey{Key: o.sealer.Load().Seal(k), Expires: t})
 }
 
-// place runs the keyed job here if this is the key's home, else sends it there.
+// place runs the job here if this agent is the key's home, otherwise it sends the job
+// there.
 func (o *keyedRequests) place(ctx context.Context, j *job, text string, fromSibling bool) (*response, error) {
 	k, err := o.sealer.Load().Open(text, o.d.service.Load().ID, time.Now())
 	switch {
@@ -73,19 +74,22 @@
 		return o.d.place(ctx, j)
 	}
 	if fromSibling || !homeAlive(o.state, k.Home.String(), k.Life) {
-		// The home's next life has none of its journal. Running the request
-		// anew here could be the second time; it shows as a doubled order.
+		// The home has stopped, and a process restarted at its address has none of its
+		// journal. If the request ran here, an earlier attempt may have run it already:
+		// it would run twice.
 		return nil, refuseUnknown("the agent that issued the key is gone")
 	}
 	return o.sendToHome(ctx, j, k, text)
 }
 
+// sendToHome sends the job to its key's home.
 func (o *keyedRequests) sendToHome(ctx context.Context, j *job, k idempotency.Key, text string) (*response, error) {
 	o.d.counts.ToHome.Add(1)
 	o.d.logRequest(events.RequestToHome, j, k.Home.String())
 	a, err := o.d.callPeer(ctx, j, k.Home.String(), passedHome, text)
 	if isNotRun(err) {
-		// Not run by this sending; an earlier one may have reached the home.
+		// This attempt did not run the request, but an earlier one may have reached the
+		// home.
 		return nil, refuseUnknown("the agent that issued the key can't be reached")
 	}
 	if err != nil {
@@ -94,7 +98,7 @@
 	return o.d.relayResponse(a), nil
 }
 
-// relayResponse returns a home's answer as it is, its refusals too.
+// relayResponse returns a home's response unchanged, refusals included.
 func (d *dispatcher) relayResponse(a *http.Response) *response {
 	d.running.Add(1)
 	return &response{Response: a, relayed: true, finish: func(error) {
@@ -103,7 +107,8 @@
 	}}
 }
 
-// detached returns a context with the deadline, but not the cancellation.
+// detached returns a context that has the deadline of ctx, or the limit from now if ctx
+// has none, but is not cancelled with ctx.
 func detached(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	t, ok := ctx.Deadline()
 	if !ok {
@@ -112,9 +117,10 @@
 	return context.WithDeadline(context.WithoutCancel(ctx), t)
 }
 
+// atHome handles a job whose key's home is this agent.
 func (o *keyedRequests) atHome(ctx context.Context, j *job, k idempotency.Key) (*response, error) {
-	// The order runs to its end within its time even if the caller goes away,
-	// since the caller will ask again under the same key.
+	// The request runs to its end or its deadline even if the caller disconnects, since
+	// the caller will retry with the same key.
 	ctx, stop := detached(ctx, o.d.timeouts.Load().Request)
 	u, fresh, err := o.journal.Begin(k, j.r.Method+" "+j.r.URL.RequestURI())
 	var a *response
@@ -142,7 +148,7 @@
 	return a, nil
 }
 
-// runFirst runs the request and records what comes of it.
+// runFirst runs the first request under a key and records the result.
 func (o *keyedRequests) runFirst(ctx context.Context, j *job, k idempotency.Key, u *idempotency.Use) (*response, error) {
 	a, err := o.d.place(ctx, j)
 	if err != nil {
@@ -163,8 +169,8 @@
 	return a, nil
 }
 
-// record reads the answer to its end if it is short, and returns it in the
-// form that is kept; the answer's body can still be read after it.
+// record reads a short response to its end and returns the copy to keep. The response's
+// body can still be read afterwards.
 func record(a *response) (*idempotency.Recorded, error) {
 	b, err := io.ReadAll(io.LimitReader(a.Body, idempotency.MaxRecorded+1))
 	if err != nil {
@@ -181,10 +187,10 @@
 	return &idempotency.Recorded{Status: a.StatusCode, Header: a.Header.Clone(), Body: b}, nil
 }
 
-// HeaderReplayed marks an answer that was recorded earlier.
+// HeaderReplayed marks a response that was recorded earlier.
 const HeaderReplayed = "Idempotency-Replayed"
 
-// replay answers a second use of a key with what came of the first.
+// replay answers a repeated use of a key with the result of the first.
 func (o *keyedRequests) replay(ctx context.Context, j *job, u *idempotency.Use) (*response, error) {
 	res, rec, err := o.journal.Wait(ctx, u)
 	switch {
--- a/agent/outside.go
+++ b/agent/outside.go
@@ -6,22 +6,24 @@
 	"sync/atomic"
 )
 
-// siblingRequests are the requests that siblings in other availability zones passed here.
+// siblingRequests tracks the requests that siblings in other availability zones passed
+// here, and cancels them when this agent's zone goes out.
 //
-// Their flows end at the siblings, so closing this agent's flows when its zone goes
-// out ends none of them; a feed that was passed here would be served on from a zone
-// that must be silent. It shows as an upstream of the zone that still sends. So they
-// are ended with the zone, and the sibling's caller sees its answer cut. The zero
-// value is ready.
+// Their flows end at the siblings, so closing this agent's flows does not end them. A
+// feed that was passed here would continue, and an upstream of a zone that is out would
+// still send. When the requests are cancelled, the siblings' callers see their
+// responses cut off. The zero value is ready to use.
 type siblingRequests struct {
 	mu      sync.Mutex
 	zoneOut bool
-	// zoneCtx ends with end, when the zone goes out; nil until somebody needs it.
+	// zoneCtx is cancelled by cancel when the zone goes out. It is nil until a request
+	// needs it.
 	zoneCtx context.Context
 	cancel  context.CancelFunc
 }
 
-// register returns a context that ends when the zone goes out, or false if it is out.
+// register returns a context that is cancelled when the zone goes out, or false if the
+// zone is out.
 func (o *siblingRequests) register(ctx context.Context) (context.Context, context.CancelFunc, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -36,9 +38,9 @@
 	return ctx, func() { unregister(); stop() }, true
 }
 
-// syncZone takes over whether the zone is out, and ends what is here if so. The flag
-// is read under the lock: a zone that comes back at the very moment in which its
-// requests are to end must not stay out here.
+// syncZone records whether the zone is out, and cancels the requests if it is. It reads
+// the flag under the lock: otherwise a zone that comes back just as its requests are
+// cancelled could stay recorded as out.
 func (o *siblingRequests) syncZone(zoneOut *atomic.Bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -49,8 +51,9 @@
 	}
 }
 
-// refuseZoneOut refuses what a sibling passes to a zone that is out. An order that
-// comes to its key's home may have run before.
+// refuseZoneOut returns the refusal of a request that a sibling passes to a zone that
+// is out. A request sent to its key's home may have run before, so its outcome is
+// unknown.
 func refuseZoneOut(passed string) *refusal {
 	if passed == passedHome {
 		return refuseUnknown("the availability zone of the agent that issued the key is out")
--- a/agent/paths.go
+++ b/agent/paths.go
@@ -1,10 +1,10 @@
-// This file chooses the balancer that a flow's answers go through. Callers are
-// spread over a fixed number of slots and each slot has the living balancer that
-// ranks highest for it (rendezvous hashing). So a balancer that goes moves its own
-// callers only and spreads them over all others. A choice costs one look-up; a
-// change of the living, some hundred thousand hashes with 400 of them. Given up:
-// an even spread over many balancers by one agent, which the number of agents
-// makes up for.
+// This file chooses the balancer through which a flow's outgoing datagrams are sent.
+// Callers are hashed into a fixed number of buckets, and each bucket uses the live
+// balancer that ranks highest for it (rendezvous hashing). So when a balancer fails,
+// only its own callers move, and they spread over all others. A choice costs one
+// lookup; a change of the live balancers costs some hundred thousand hashes with 400 of
+// them. Limitation: one agent does not spread its callers evenly over many balancers; a
+// large number of agents does.
 
 package agent
 
@@ -18,30 +18,31 @@
 	"pomeloway.example/pomeloway/fleet"
 )
 
-// balancerTimeout is how long after it was last heard a balancer is no longer used: one
-// heartbeat and a half. A feed's datagrams are lost for so long when it dies, which
-// QUIC repeats, and no caller has to speak first. A heartbeat that is lost costs
-// little: the flows go by another balancer until the next.
+// balancerTimeout is how long after its last heartbeat a balancer is no longer used:
+// one and a half heartbeat intervals. When a balancer fails, the datagrams of a feed
+// are lost for this time; QUIC retransmits them, and the caller does not have to send
+// anything first. A lost heartbeat costs little: the flows use another balancer until
+// the next one.
 const balancerTimeout = 800 * time.Millisecond
 
-// pathBuckets is how many groups of callers there are; each moves as one.
+// pathBuckets is the number of groups of callers. The callers of a group move together.
 const pathBuckets = 512
 
-// paths are the balancers that an agent may send answers through.
+// paths holds the balancers through which an agent may send to callers.
 type paths struct {
 	mu        sync.Mutex
 	lastHeard map[netip.AddrPort]time.Time
 	zones     map[netip.AddrPort]bundle.ZoneID
-	// live are those heard lately, in a fixed order; fallback are the rest that
-	// the fleet's view names, for an agent nobody has spoken to yet.
+	// live are the balancers with a recent heartbeat, sorted by address; fallback are
+	// the ready balancers in the fleet's view, used while no balancer is live.
 	live, fallback []netip.AddrPort
-	// buckets are the balancers by the caller's hash; all are valid or none.
+	// buckets maps a caller's hash to a balancer. All entries are valid, or none.
 	buckets [pathBuckets]netip.AddrPort
-	// onChange is told of each change of live.
+	// onChange is called after each change of live.
 	onChange func(live []netip.AddrPort)
 }
 
-// recordHeartbeat notes a heartbeat from a balancer.
+// recordHeartbeat records a heartbeat of a balancer.
 func (p *paths) recordHeartbeat(a netip.AddrPort, z bundle.ZoneID, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -55,8 +56,8 @@
 	}
 }
 
-// updateMembers drops the balancers that fell silent or whose zone is out, and takes
-// the spare ones from the members.
+// updateMembers drops the balancers that timed out, that leave or whose availability
+// zone is out, and takes fallback from the members.
 func (p *paths) updateMembers(ms []fleet.Member, b *bundle.Bundle, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,18 +80,18 @@
 	}
 	p.refreshLive(now)
 	if len(p.live) == 0 {
-		p.assignBuckets() // by the spare, which are new
+		p.assignBuckets() // from fallback, which has changed
 	}
 }
 
-// expire drops the balancers that fell silent.
+// expire drops the balancers that timed out.
 func (p *paths) expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refreshLive(now)
 }
 
-// refreshLive makes the list anew; p.mu is held.
+// refreshLive recomputes live, and the buckets if live has changed. p.mu must be held.
 func (p *paths) refreshLive(now time.Time) {
 	var live []netip.AddrPort
 	for a, t := range p.lastHeard {
@@ -112,12 +113,13 @@
 	}
 }
 
-// assignBuckets gives each slot its balancer; p.mu is held.
+// assignBuckets assigns a balancer to each bucket. p.mu must be held.
 //
-// By the remainder of a hash over the list, every change would move nearly all
-// flows, and balancers that are replaced one after another in the list's order
-// would keep the dead one at the same place: the same callers hear nothing for as
-// long as that goes on. It shows as openings that never succeed from some ports.
+// If a caller's hash modulo the length of the list selected its balancer, every change
+// of the list would move nearly all flows. And if balancers were replaced one after
+// another in the order of the list, the dead one would always be at the same index: the
+// same callers would receive nothing for as long as the replacement lasts, and openings
+// from some ports would never succeed.
 func (p *paths) assignBuckets() {
 	from := p.live
 	if len(from) == 0 {
@@ -125,7 +127,7 @@
 	}
 	hashes := make([]uint64, len(from))
 	for i, a := range from {
-		b, _ := a.MarshalBinary() // has no error
+		b, _ := a.MarshalBinary() // never fails
 		hashes[i] = fleet.HashOf(b)
 	}
 	for bucket := range p.buckets {
@@ -139,8 +141,8 @@
 	}
 }
 
-// pick returns the balancer for the caller's answers. All datagrams of a flow
-// take one path while it lives, since reordering costs a flow its speed.
+// pick returns the balancer for datagrams to the caller. All datagrams of a flow take
+// one path while it is live, since reordering reduces a flow's throughput.
 func (p *paths) pick(caller netip.AddrPort) (netip.AddrPort, bool) {
 	b := caller.Addr().As4()
 	k := uint64(b[0])<<40 | uint64(b[1])<<32 | uint64(b[2])<<24 | uint64(b[3])<<16 | uint64(caller.Port())
--- a/agent/problem.go
+++ b/agent/problem.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Outcome is what is known of a request that got no answer of the upstream.
+// Outcome says whether a request ran that got no response from the upstream.
 type Outcome string
 
-// Outcomes. A request that got the upstream's answer has none.
+// Outcomes. A request with a response from the upstream has none.
 const (
-	// OutcomeNotRun: the request certainly did not run; it may be sent again.
+	// OutcomeNotRun: the request did not run and may be sent again.
 	OutcomeNotRun Outcome = "not-run"
 	// OutcomeUnknown: the request may have run.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// HeaderOutcome carries the outcome in a refusal.
+// HeaderOutcome carries the outcome of a refused request.
 const HeaderOutcome = "Pomeloway-Outcome"
 
-// Problem is the body of a refusal, in the form of RFC 9457.
+// Problem is the body of a refusal, as defined in RFC 9457.
 type Problem struct {
 	Type    string  `json:"type"`
 	Title   string  `json:"title"`
@@ -31,7 +31,7 @@
 	Outcome Outcome `json:"outcome"`
 }
 
-// refusal is an error that a caller gets as a problem.
+// refusal is an error that is sent to the caller as a Problem.
 type refusal struct {
 	status     int
 	kind       string
@@ -44,8 +44,8 @@
 // Error returns the title and the detail.
 func (r *refusal) Error() string { return r.title + ": " + r.detail }
 
-// fullRetryDelay is when a refused caller should come back: about the time in which
-// a slot is freed.
+// fullRetryDelay is how long a caller should wait after a refusal for lack of a slot:
+// about the time until a slot becomes free.
 const fullRetryDelay = time.Second
 
 func refuseFull(detail string) *refusal {
@@ -64,19 +64,19 @@
 	return &refusal{status, kind, "the idempotency key is not accepted", detail, OutcomeNotRun, 0}
 }
 
-// refuseTooLarge refuses a body over the service's limit; what was read of it may
-// have reached the upstream.
+// refuseTooLarge refuses a body over the service's limit. The outcome is unknown if
+// part of the body may have reached the upstream.
 func refuseTooLarge(o Outcome) *refusal {
 	return &refusal{http.StatusRequestEntityTooLarge, "too-large", "the request's body is longer than the service takes", "", o, 0}
 }
 
-// refuseTooLong refuses to repeat an answer that was not kept: the request ran,
-// so it must not seem that it did not.
+// refuseTooLong refuses to replay a response that was too long to record. The request
+// ran, so the outcome must not be "not-run".
 func refuseTooLong() *refusal {
 	return &refusal{http.StatusConflict, "answer-too-long", "the request ran once; its answer was too long to keep", "", OutcomeUnknown, 0}
 }
 
-// write sends the refusal as application/problem+json.
+// write writes the refusal as application/problem+json.
 func (r *refusal) write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
--- a/agent/siblings.go
+++ b/agent/siblings.go
@@ -11,14 +11,15 @@
 	"pomeloway.example/pomeloway/fleet"
 )
 
-// headerFree carries a sibling's free slots in each of its answers.
+// headerFree carries the number of free slots of an agent, in each of its responses to
+// a sibling.
 const headerFree = "Pomeloway-Free"
 
-// freeSlotsTTL is how long a sibling's count of free slots is worth anything.
+// freeSlotsTTL is how long a sibling's reported number of free slots is used.
 const freeSlotsTTL = time.Second
 
-// siblings are the agents of the same service and what they last said of their
-// free slots.
+// siblings holds the other agents of the same service and the free slots that they last
+// reported.
 type siblings struct {
 	service bundle.ServiceID
 	self    fleet.MemberID
@@ -33,7 +34,8 @@
 	at    time.Time
 }
 
-// set takes the ready, undoubted agents of the service from the members.
+// set replaces the list of siblings. It takes the agents of the service that are ready,
+// not doubted and in a zone that is not out.
 func (s *siblings) set(ms []fleet.Member, doubts map[fleet.MemberID]bool, b *bundle.Bundle) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +48,7 @@
 	}
 }
 
-// recordFreeSlots takes the count of free slots from a sibling's answer.
+// recordFreeSlots records the number of free slots that a sibling's response reports.
 func (s *siblings) recordFreeSlots(id fleet.MemberID, h http.Header) {
 	n, err := strconv.Atoi(h.Get(headerFree))
 	if err != nil {
@@ -60,10 +62,11 @@
 	s.freeSlots[id] = freeSlots{slots: n, at: time.Now()}
 }
 
-// pick returns the sibling to try: of two at random that were not tried, the
-// one that said to have more free slots, unless that is too long ago. Two
-// choices spread nearly as well as all, and keep the whole service from running
-// to the same one (Mitzenmacher, 2001).
+// pick returns the sibling to try next. It selects two untried ones at random and
+// returns the one that reported more free slots, unless the reports are too old. Two
+// choices spread requests nearly as well as comparing all siblings, and prevent all
+// agents of the service from picking the same one (power of two choices; Mitzenmacher,
+// 2001).
 func (s *siblings) pick(tried map[fleet.MemberID]bool) (fleet.Member, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,8 +86,8 @@
 	return left[0], true
 }
 
-// assumedFreeSlots ranks a sibling that said nothing lately above one that said to
-// be full.
+// assumedFreeSlots ranks a sibling without a recent report above one that reported no
+// free slot.
 const assumedFreeSlots = 1
 
 func (s *siblings) lastFreeSlots(id fleet.MemberID) int {
@@ -95,7 +98,8 @@
 	return f.slots
 }
 
-// home returns the address of a key's home if that life is still there.
+// homeAlive reports whether the agent at the address is still the incarnation that
+// issued the key.
 func homeAlive(st *fleet.State, peer string, incarnation fleet.Incarnation) bool {
 	ms, _ := st.Snapshot()
 	for _, m := range ms {
@@ -103,6 +107,6 @@
 			return m.Incarnation == incarnation && m.Phase != fleet.PhaseLeft
 		}
 	}
-	// A view that lacks the home may be the one at fault; the call will tell.
+	// The view may be incomplete. The call to the home will show whether it exists.
 	return true
 }
--- a/agent/world_test.go
+++ b/agent/world_test.go
@@ -22,13 +22,13 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// cluster is a service's agents with their upstreams, joined in memory, so that a
-// run takes no real time. The request layer is the real one; faults are drawn
-// by seed on the wires to the upstreams and between the agents.
+// cluster is a service's agents and their upstreams, connected in memory, so that a run
+// takes no real time. The request handling is the real one; faults are injected at
+// random, by seed, into the connections to the upstreams and between the agents.
 type cluster struct {
 	disabledGuards guard.Off
 	agents         []*handler
-	// noFaults is a world in which nothing fails.
+	// noFaults switches all faults off.
 	noFaults bool
 
 	mu      sync.Mutex
@@ -37,12 +37,14 @@
 	pending *swappedResponse
 }
 
-// swappedResponse is an answer that waits to be given to another request.
+// swappedResponse is a response that waits to be swapped with that of another request.
 type swappedResponse struct {
 	id, order string
 	partner   chan swappedResponse
 }
 
+// randomN returns a random number from 0 to n-1. With noFaults it returns n-1, which
+// selects no fault.
 func (w *cluster) randomN(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -72,7 +74,7 @@
 	return fleet.Member{ID: fleet.NewID(fleet.RoleAgent, a), Role: fleet.RoleAgent, Zone: 1, Service: 1, Link: a, Peer: agentAddr(i), Incarnation: incarnation, Phase: fleet.PhaseReady}
 }
 
-// start begins a life of the i-th agent.
+// start starts the i-th agent with an incarnation.
 func (w *cluster) start(i int, incarnation fleet.Incarnation) *handler {
 	m := agentMember(i, incarnation)
 	d := &dispatcher{
@@ -92,7 +94,7 @@
 	return f
 }
 
-// shareMembers tells every agent of the others.
+// shareMembers updates the list of siblings of every agent.
 func (w *cluster) shareMembers() {
 	var ms []fleet.Member
 	for i, f := range w.agents {
@@ -107,7 +109,7 @@
 	}
 }
 
-// restart ends an agent's life and begins the next at the same address.
+// restart replaces an agent by one with the next incarnation at the same address.
 func (w *cluster) restart(i int) {
 	w.mu.Lock()
 	incarnation := w.agents[i].incarnation + 1
@@ -125,12 +127,12 @@
 	return w.agents[i]
 }
 
-var errConnCut = errors.New("connection was cut")
+var errConnCut = errors.New("connection was cut off")
 
-// upstreamTransport is the way to an upstream that runs orders.
+// upstreamTransport is the transport to an upstream that runs orders.
 type upstreamTransport struct{ w *cluster }
 
-// RoundTrip runs the order, or fails before, in between or after.
+// RoundTrip runs the order, or fails before, during or after the run.
 func (u upstreamTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	fault := u.w.randomN(20)
 	if fault == 0 {
@@ -145,7 +147,7 @@
 	id := r.Header.Get(upstream.HeaderRequest)
 	switch fault {
 	case 1:
-		return nil, errConnCut // it never ran, and nobody can know
+		return nil, errConnCut // it did not run, but the agent can't know
 	case 2:
 		return newResponse(http.StatusServiceUnavailable, id, "shed"), nil
 	}
@@ -154,7 +156,7 @@
 	u.w.mu.Unlock()
 	switch fault {
 	case 3:
-		return nil, errConnCut // it ran, and nobody can know
+		return nil, errConnCut // it ran, but the agent can't know
 	case 4, 5:
 		x := u.w.swap(swappedResponse{id: id, order: string(b)})
 		return newResponse(http.StatusOK, x.id, x.order), nil
@@ -162,7 +164,7 @@
 	return newResponse(http.StatusOK, id, string(b)), nil
 }
 
-// swap exchanges an answer with the next one that is to be crossed.
+// swap swaps a response with the next one that is to be swapped.
 func (w *cluster) swap(c swappedResponse) swappedResponse {
 	w.mu.Lock()
 	if o := w.pending; o != nil {
@@ -192,13 +194,13 @@
 	return &http.Response{StatusCode: status, Header: http.Header{upstream.HeaderRequest: {id}}, Body: io.NopCloser(strings.NewReader(body))}
 }
 
-// inFlightBytes is how much of a body leaves before a refusal comes back.
+// inFlightBytes is how much of a body is sent before a refusal arrives.
 const inFlightBytes = 2 * maxReplayBytes
 
-// peerTransport is the way between agents.
+// peerTransport is the transport between agents.
 type peerTransport struct{ w *cluster }
 
-// RoundTrip calls the other agent, or fails before or after it ran.
+// RoundTrip calls the other agent. It may fail before or after the request ran.
 func (p peerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	fault := p.w.randomN(20)
 	if fault == 0 {
@@ -208,7 +210,7 @@
 		if agentAddr(i).String() != r.URL.Host {
 			continue
 		}
-		// A real connection carries the body's beginning before the answer.
+		// A real connection sends the start of the body before the response arrives.
 		c := r.Clone(r.Context())
 		if r.Body != nil {
 			head, err := io.ReadAll(io.LimitReader(r.Body, inFlightBytes))
@@ -220,7 +222,7 @@
 		rec := httptest.NewRecorder()
 		p.w.agent(i).peerHandler().ServeHTTP(rec, c)
 		if fault == 1 {
-			return nil, errConnCut // the answer is lost
+			return nil, errConnCut // the response is lost
 		}
 		return rec.Result(), nil
 	}
