--- a/agent/conn_test.go
+++ b/agent/conn_test.go
@@ -19,8 +19,8 @@
 	balancerAddr = netip.MustParseAddrPort("127.0.0.1:9")
 )
 
-// listener opens a socket, for instance for the next agent in a list of candidates.
-func listener(t *testing.T) *link.Socket {
+// newSocket opens a link socket that is closed at the end of the test.
+func newSocket(t *testing.T) *link.Socket {
 	t.Helper()
 	s, err := link.Listen(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
@@ -30,9 +30,9 @@
 	return s
 }
 
-func testConn(t *testing.T, admit func() events.Reason) *conn {
+func newTestConn(t *testing.T, admit func() events.Reason) *conn {
 	t.Helper()
-	c := newConn(listener(t), 1, 1, 7, admit, func() int { return 0 }, nil)
+	c := newConn(newSocket(t), 1, 1, 7, admit, func() int { return 0 }, nil)
 	ks := link.NewKeys(keyring.Ring{secret})
 	c.keys.Store(&ks)
 	return c
@@ -62,7 +62,7 @@
 // again. If it were taken here now, each agent would hold half a handshake, and the
 // caller would time out.
 func TestAllDatagramsOfAnOpeningFollowTheFirst(t *testing.T) {
-	next := listener(t)
+	next := newSocket(t)
 	for name, x := range map[string]struct {
 		first, then events.Reason
 		takenHere   bool
@@ -73,7 +73,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			reason := x.first
-			c := testConn(t, func() events.Reason { return reason })
+			c := newTestConn(t, func() events.Reason { return reason })
 			m := link.Message{Count: 2, Candidates: [link.MaxCandidates]netip.AddrPort{c.socket.Addr(), next.Addr()}}
 			for i := range 4 {
 				p, _ := c.handle(openingDatagram(m, initialPacket(5)), balancerAddr)
@@ -90,8 +90,8 @@
 }
 
 func TestPassedOpeningNamesItsNextCandidate(t *testing.T) {
-	next := listener(t)
-	c := testConn(t, func() events.Reason { return events.ReasonFull })
+	next := newSocket(t)
+	c := newTestConn(t, func() events.Reason { return events.ReasonFull })
 	c.handle(openingDatagram(link.Message{Count: 2, Candidates: [link.MaxCandidates]netip.AddrPort{c.socket.Addr(), next.Addr()}}, initialPacket(5)), balancerAddr)
 	b := make([]byte, 2048)
 	n, err := next.Read(b)
@@ -114,14 +114,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			admitAll := func() events.Reason { return "" }
-			a, b := testConn(t, admitAll), testConn(t, admitAll)
+			a, b := newTestConn(t, admitAll), newTestConn(t, admitAll)
 			a.flowCount, b.flowCount = func() int { return x.first }, func() int { return x.second }
 			m := link.Message{Count: 2, Candidates: [link.MaxCandidates]netip.AddrPort{a.socket.Addr(), b.socket.Addr()}}
 			for datagram := range 3 {
 				at, hops := a, 0
 				p := openingDatagram(m, initialPacket(5))
 				for taken, _ := at.handle(p, balancerAddr); taken == nil; taken, _ = at.handle(p, balancerAddr) {
-					if at, hops = other(at, a, b), hops+1; hops > 2 {
+					if at, hops = otherConn(at, a, b), hops+1; hops > 2 {
 						t.Fatal("the opening circulates")
 					}
 					p = receive(t, at)
@@ -134,7 +134,7 @@
 	}
 }
 
-func other(c, a, b *conn) *conn {
+func otherConn(c, a, b *conn) *conn {
 	if c == a {
 		return b
 	}
@@ -197,7 +197,7 @@
 	reasons := make([]events.Reason, 4)
 	var f agentConns
 	for i, flowCount := range []int{1, 3, 9, 2} {
-		c := testConn(t, func() events.Reason { return reasons[i] })
+		c := newTestConn(t, func() events.Reason { return reasons[i] })
 		c.flowCount = func() int { return flowCount }
 		f = append(f, c)
 	}
@@ -220,7 +220,7 @@
 	var f agentConns
 	leaving := events.Reason("")
 	for range 3 {
-		c := testConn(t, func() events.Reason { return leaving })
+		c := newTestConn(t, func() events.Reason { return leaving })
 		c.flowCount = func() int { return 1 + len(f) }
 		f = append(f, c)
 	}
@@ -236,7 +236,7 @@
 // Guards against a panic on a datagram whose opening was passed on before, if the
 // datagram names the agent as its last candidate.
 func TestKnownOpeningAtItsLastCandidateIsPassedOn(t *testing.T) {
-	f := agentConns{testConn(t, func() events.Reason { return "" }), testConn(t, func() events.Reason { return "" })}
+	f := agentConns{newTestConn(t, func() events.Reason { return "" }), newTestConn(t, func() events.Reason { return "" })}
 	f[0].flowCount = func() int { return 5 }
 	f[0].handle(openingDatagram(f.openingFor(0, 1), initialPacket(5)), balancerAddr)
 	if _, at := f.receive(t); at != 1 {
@@ -254,7 +254,7 @@
 // be able to open a flow when there is capacity again.
 func TestLastCandidateRefusesAtOnce(t *testing.T) {
 	reason := events.ReasonFull
-	c := testConn(t, func() events.Reason { return reason })
+	c := newTestConn(t, func() events.Reason { return reason })
 	m := link.Message{Count: 1, Candidates: [link.MaxCandidates]netip.AddrPort{c.socket.Addr()}}
 	if p, _ := c.handle(openingDatagram(m, initialPacket(5)), balancerAddr); p == nil || !c.refused.has(callerAddr, time.Now()) {
 		t.Error("the opening did not reach quic-go to be refused")
@@ -269,7 +269,7 @@
 // service reaches this agent because an address was reused or the view of a balancer is
 // old.
 func TestDatagramsOfOtherServicesAreNotTaken(t *testing.T) {
-	c := testConn(t, func() events.Reason { return "" })
+	c := newTestConn(t, func() events.Reason { return "" })
 	m := link.Message{Service: 2, Count: 1, Candidates: [link.MaxCandidates]netip.AddrPort{c.socket.Addr()}}
 	if p, _ := c.handle(openingDatagram(m, initialPacket(5)), balancerAddr); p != nil {
 		t.Error("an opening of another service was taken")
@@ -284,7 +284,7 @@
 // Guards against a panic that would end all flows of an agent. A faulty process of the
 // fleet names a caller without an IPv4 address, to which no datagram can be returned.
 func TestCallerWithoutIPv4IsDropped(t *testing.T) {
-	c := testConn(t, func() events.Reason { return "" })
+	c := newTestConn(t, func() events.Reason { return "" })
 	m := link.Message{Count: 1, Caller: netip.MustParseAddrPort("[2001:db8::1]:1"), Candidates: [link.MaxCandidates]netip.AddrPort{c.socket.Addr()}}
 	if p, _ := c.handle(openingDatagram(m, initialPacket(5)), balancerAddr); p != nil {
 		t.Error("a datagram of a caller without an IPv4 address was taken")
--- a/agent/front.go
+++ b/agent/front.go
@@ -74,6 +74,8 @@
 	return f.gate.Load().Free()
 }
 
+// serve serves a request of a flow. passed is the value of headerPassed, or empty for a
+// request of a caller.
 func (f *handler) serve(w http.ResponseWriter, r *http.Request, flow upstream.FlowID, passed string) {
 	s := f.service.Load()
 	if s == nil {
@@ -160,6 +162,7 @@
 	}
 }
 
+// refuse writes the refusal that err describes, and logs and counts it.
 func (f *handler) refuse(w http.ResponseWriter, j *job, err error) {
 	var r *refusal
 	if !errors.As(err, &r) {
@@ -207,6 +210,8 @@
 	return ctx, stop, true
 }
 
+// setTimeoutHeader sets the time that is left until the deadline of ctx in the header
+// of a request to another agent.
 func setTimeoutHeader(ctx context.Context, r *http.Request) {
 	if t, ok := ctx.Deadline(); ok {
 		r.Header.Set(upstream.HeaderTimeout, time.Until(t).Round(time.Millisecond).String())
--- a/agent/handover.go
+++ b/agent/handover.go
@@ -128,10 +128,10 @@
 func neverSent(err error) bool {
 	var op *net.OpError
 	var idle *quic.IdleTimeoutError
-	var hand *quic.HandshakeTimeoutError
+	var handshake *quic.HandshakeTimeoutError
 	var h *http3.Error
 	switch {
-	case errors.As(err, &hand):
+	case errors.As(err, &handshake):
 		return true
 	case errors.As(err, &op):
 		return op.Op == "dial"
--- a/agent/history_test.go
+++ b/agent/history_test.go
@@ -77,14 +77,14 @@
 	w := newCluster(seed, disabledGuards)
 	start := time.Now()
 	var mu sync.Mutex
-	var wrong []error
+	var errs []error
 	var g sync.WaitGroup
 	for c := range 4 {
 		g.Go(func() {
 			for n := range 3 {
 				if err := w.placeAndCheck(ctx, fmt.Sprintf("order-%d-%d", c, n), start); err != nil {
 					mu.Lock()
-					wrong = append(wrong, err)
+					errs = append(errs, err)
 					mu.Unlock()
 				}
 			}
@@ -92,7 +92,7 @@
 	}
 	g.Go(func() { w.injectFaults() })
 	g.Wait()
-	return errors.Join(wrong...)
+	return errors.Join(errs...)
 }
 
 // injectFaults restarts and drains agents while callers send orders.
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -73,7 +73,7 @@
 	if o.d.disabledGuards.Has(guard.Home) {
 		return o.d.place(ctx, j)
 	}
-	if fromSibling || !homeAlive(o.state, k.Home.String(), k.Life) {
+	if fromSibling || !mayBeAlive(o.state, k.Home.String(), k.Life) {
 		// The home has stopped, and a process restarted at its address has none of its
 		// journal. If the request ran here, an earlier attempt may have run it already:
 		// it would run twice.
--- a/agent/siblings.go
+++ b/agent/siblings.go
@@ -98,15 +98,15 @@
 	return f.slots
 }
 
-// homeAlive reports whether the agent at the address is still the incarnation that
-// issued the key.
-func homeAlive(st *fleet.State, peer string, incarnation fleet.Incarnation) bool {
+// mayBeAlive reports whether the agent at the address may still run as the given
+// incarnation. It returns true for an agent that the fleet's view does not contain.
+func mayBeAlive(st *fleet.State, peer string, incarnation fleet.Incarnation) bool {
 	ms, _ := st.Snapshot()
 	for _, m := range ms {
 		if m.Peer.String() == peer {
 			return m.Incarnation == incarnation && m.Phase != fleet.PhaseLeft
 		}
 	}
-	// The view may be incomplete. The call to the home will show whether it exists.
+	// The view may be incomplete. A call to the agent will show whether it runs.
 	return true
 }
