--- a/agent/conn.go
+++ b/agent/conn.go
@@ -159,7 +159,7 @@
 	k, now := openingKey{fleet.HashOf(cid), m.Caller}, time.Now()
 	earlier := c.openings.get(k, now)
 	if earlier.decision == decisionPassed && wasReturned(m) || earlier.target.IsValid() && hopsExhausted(m) {
-		earlier = placement{} // the sibling is busier and returned it, or the opening has no hops left
+		earlier = placement{} // the sibling returned the opening, or it has no hops left
 	}
 	switch earlier.decision {
 	case decisionTaken:
--- a/agent/openings.go
+++ b/agent/openings.go
@@ -23,8 +23,8 @@
 	decisionNone decision = iota
 	decisionTaken
 	decisionPassed
-	// decisionReturned: the agent that had passed the opening on is less busy and got
-	// it back.
+	// decisionReturned: the opening was returned to the agent that had passed it on,
+	// because that agent has fewer flows or this one can't take it.
 	decisionReturned
 	decisionRefused
 )
--- a/agent/paths.go
+++ b/agent/paths.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// updateMembers drops the balancers that timed out, that leave or whose availability
-// zone is out, and takes fallback from the members.
+// updateMembers drops the balancers that timed out, are leaving or are in an
+// availability zone that is out. It takes fallback from the members.
 func (p *paths) updateMembers(ms []fleet.Member, b *bundle.Bundle, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/agent/problem.go
+++ b/agent/problem.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Outcome says whether a request ran that got no response from the upstream.
+// Outcome says whether a request that got no response from the upstream may have run.
 type Outcome string
 
 // Outcomes. A request with a response from the upstream has none.
