--- a/agent/conn.go
+++ b/agent/conn.go
@@ -14,47 +14,53 @@
 	"pomeloway.example/pomeloway/quiclb"
 )
 
-// conn is the net.PacketConn under quic-go. It strips the links' headers from
-// callers' datagrams and adds them to answers; heartbeats and openings that
-// belong elsewhere are dealt with on the way and never reach quic-go.
+// conn is the net.PacketConn under quic-go. It removes the link headers from callers'
+// datagrams and adds them to outgoing ones. It handles heartbeats, and openings that
+// another agent should take, itself; they never reach quic-go.
 type conn struct {
-	socket  *link.Socket
-	service bundle.ServiceID
-	zone    bundle.ZoneID
-	life    fleet.Incarnation
-	// admit returns why one more flow can't be taken, or nothing; flows
-	// returns how many are open.
-	admit   func() events.Reason
-	flows   func() int
-	log     *events.Log
-	keys    atomic.Pointer[link.Keys]
-	paths   paths
-	taken   openings
-	refused refusals
-
-	// Unknown counts messages without a valid tag, Foreign those of another
-	// service, Unrouted answers for which no balancer was known.
+	socket      *link.Socket
+	service     bundle.ServiceID
+	zone        bundle.ZoneID
+	incarnation fleet.Incarnation
+	// admit returns the reason why another flow can't be accepted, or an empty reason;
+	// flowCount returns the number of open flows.
+	admit     func() events.Reason
+	flowCount func() int
+	log       *events.Log
+	keys      atomic.Pointer[link.Keys]
+	paths     paths
+	openings  openingTable
+	refused   refusedCallers
+
+	// Unknown counts messages without a valid tag and stale heartbeats, Foreign
+	// messages for another service or of a caller without an IPv4 address, Unrouted
+	// outgoing datagrams for which no balancer was known, and Passed datagrams of
+	// openings that were passed to another agent.
 	Unknown, Foreign, Unrouted, Passed atomic.Uint64
 
-	batch *link.Batch
-	next  int
-	have  int
-	// lastBeat is the reader's own: when each balancer was last heard.
-	lastBeat map[netip.AddrPort]time.Time
+	// batch holds the datagrams that were read last: batchLen of them, of which
+	// batchNext is the next to handle.
+	batch     *link.Batch
+	batchNext int
+	batchLen  int
+	// lastTraffic is when each balancer's traffic was last recorded. Only the reading
+	// goroutine uses it.
+	lastTraffic map[netip.AddrPort]time.Time
 }
 
 const readBatch = 32
 
-func newConn(s *link.Socket, service bundle.ServiceID, zone bundle.ZoneID, life fleet.Incarnation, admit func() events.Reason, flows func() int, l *events.Log) *conn {
-	return &conn{socket: s, service: service, zone: zone, life: life, admit: admit, flows: flows, log: l, batch: link.NewBatch(readBatch), lastBeat: map[netip.AddrPort]time.Time{}}
+func newConn(s *link.Socket, service bundle.ServiceID, zone bundle.ZoneID, incarnation fleet.Incarnation, admit func() events.Reason, flowCount func() int, l *events.Log) *conn {
+	return &conn{socket: s, service: service, zone: zone, incarnation: incarnation, admit: admit, flowCount: flowCount, log: l, batch: link.NewBatch(readBatch), lastTraffic: map[netip.AddrPort]time.Time{}}
 }
 
-// ReadFrom returns the next datagram of a caller. quic-go reads in one goroutine.
+// ReadFrom returns the next datagram of a caller. It must not be called concurrently;
+// quic-go reads in one goroutine.
 func (c *conn) ReadFrom(b []byte) (int, net.Addr, error) {
 	for {
-		for c.next < c.have {
-			i := c.next
-			c.next++
+		for c.batchNext < c.batchLen {
+			i := c.batchNext
+			c.batchNext++
 			if p, from := c.handle(c.batch.Payload(i), c.batch.From(i)); p != nil {
 				return copy(b, p), net.UDPAddrFromAddrPort(from), nil
 			}
@@ -63,11 +69,12 @@
 		if err != nil {
 			return 0, nil, err
 		}
-		c.next, c.have = 0, n
+		c.batchNext, c.batchLen = 0, n
 	}
 }
 
-// handle returns the caller's datagram if it is for quic-go here.
+// handle processes one message of the link. It returns the caller's datagram and
+// address if they are for quic-go, otherwise nil.
 func (c *conn) handle(p []byte, from netip.AddrPort) ([]byte, netip.AddrPort) {
 	var m link.Message
 	payload, ok := c.keys.Load().Get(p, &m)
@@ -79,45 +86,48 @@
 		c.answerHeartbeat(&m, from)
 		return nil, netip.AddrPort{}
 	}
-	// A letter's datagram must not open or feed a flow of another service, and
-	// an answer to anything but IPv4 can't be sent.
+	// A datagram of another service must not open or reach a flow of this one, and
+	// datagrams can only be returned to IPv4 callers.
 	if m.Service != c.service || !m.Caller.Addr().Is4() {
 		c.Foreign.Add(1)
 		return nil, netip.AddrPort{}
 	}
-	c.alive(&m, from)
-	if m.Kind == link.KindForward || m.Kind == link.KindOpen && c.open(&m, p, payload) {
+	c.recordTraffic(&m, from)
+	if m.Kind == link.KindForward || m.Kind == link.KindOpen && c.handleOpening(&m, p, payload) {
 		return payload, m.Caller
 	}
 	return nil, netip.AddrPort{}
 }
 
-// aliveEvery is how often a balancer's datagrams are taken for a heartbeat.
-const aliveEvery = 200 * time.Millisecond
+// implicitHeartbeatInterval is the shortest time between two datagrams of a balancer
+// that count as its heartbeats.
+const implicitHeartbeatInterval = 200 * time.Millisecond
 
-// alive takes a caller's datagram for the heartbeat of the balancer it came by.
+// recordTraffic counts a caller's datagram as a heartbeat of the balancer that
+// forwarded it.
 //
-// When balancers die faster than verdicts spread, all that should observe an
-// agent may be dead, and no heartbeat comes; it shows as feeds that end by the
-// idle timeout although their callers' acknowledgements arrive. What carries
-// those is alive. An opening that another agent passed on says nothing.
-func (c *conn) alive(m *link.Message, from netip.AddrPort) {
+// When balancers fail faster than the fleet agrees on which are alive, all balancers
+// that should send heartbeats to an agent may be dead. Without this function, feeds
+// would then end by the idle timeout although their callers' acknowledgements still
+// arrive; a balancer that forwards these is alive. An opening that another agent passed
+// on is no sign of a live balancer.
+func (c *conn) recordTraffic(m *link.Message, from netip.AddrPort) {
 	if m.Position > 0 {
 		return
 	}
 	now := time.Now()
-	if now.Sub(c.lastBeat[from]) < aliveEvery {
+	if now.Sub(c.lastTraffic[from]) < implicitHeartbeatInterval {
 		return
 	}
-	if len(c.lastBeat) > maxBeats {
-		clear(c.lastBeat)
+	if len(c.lastTraffic) > maxTrackedBalancers {
+		clear(c.lastTraffic)
 	}
-	c.lastBeat[from] = now
-	c.paths.beat(from, m.Zone, now)
+	c.lastTraffic[from] = now
+	c.paths.recordHeartbeat(from, m.Zone, now)
 }
 
-// maxBeats bounds the balancers whose last datagram is remembered.
-const maxBeats = 1024
+// maxTrackedBalancers limits the size of lastTraffic.
+const maxTrackedBalancers = 1024
 
 func (c *conn) answerHeartbeat(m *link.Message, from netip.AddrPort) {
 	now := time.Now()
@@ -125,121 +135,128 @@
 		c.Unknown.Add(1)
 		return
 	}
-	c.paths.beat(from, m.Zone, now)
+	c.paths.recordHeartbeat(from, m.Zone, now)
 	var b [link.HeaderSize]byte
 	(*c.keys.Load())[0].Put(b[:], &link.Message{
 		Kind: link.KindHeartbeatAck, Zone: c.zone, Service: c.service,
-		Number: uint64(c.life), Load: c.load(), Sent: uint32(now.Unix()),
+		Number: uint64(c.incarnation), Load: c.load(), Sent: uint32(now.Unix()),
 	})
 	c.socket.WriteToUDPAddrPort(b[:], from)
 }
 
-// open decides on one datagram of an opening and reports whether it is taken.
+// handleOpening handles one datagram of an opening and reports whether quic-go should
+// get it.
 //
-// Two datagrams of one opening reach this agent over two balancers, or again
-// after a repeat. Deciding each anew would split the handshake when a slot of
-// connections is freed or lost in between; it shows as a caller's time-out. So
-// the first decision stands for as long as a caller would repeat.
-func (c *conn) open(m *link.Message, whole, payload []byte) bool {
+// Several datagrams of one opening may arrive through different balancers, or again as
+// retransmissions. If each were decided separately, a flow that closes or opens in
+// between could split the handshake between two agents, and the caller would time out.
+// So the first decision applies for as long as a caller retransmits.
+func (c *conn) handleOpening(m *link.Message, datagram, payload []byte) bool {
 	class, cid := quiclb.Classify(payload)
 	if class != quiclb.ClassOpening {
 		return false
 	}
-	k, now := opening{fleet.HashOf(cid), m.Caller}, time.Now()
-	was := c.taken.get(k, now)
-	if was.place == placeNext && returned(m) || was.to.IsValid() && spent(m) {
-		was = where{} // the sibling has compared, and it is busier; or nobody takes it
+	k, now := openingKey{fleet.HashOf(cid), m.Caller}, time.Now()
+	earlier := c.openings.get(k, now)
+	if earlier.decision == decisionPassed && wasReturned(m) || earlier.target.IsValid() && hopsExhausted(m) {
+		earlier = placement{} // the sibling returned the opening, or it has no hops left
 	}
-	switch was.place {
-	case placeHere:
+	switch earlier.decision {
+	case decisionTaken:
 		return true
-	case placeNext:
-		c.pass(m, whole, was.to)
+	case decisionPassed:
+		c.passOpening(m, datagram, earlier.target)
 		return false
-	case placeBack:
-		c.giveBack(m, whole, was.to)
+	case decisionReturned:
+		c.returnOpening(m, datagram, earlier.target)
 		return false
-	case placeRefused:
+	case decisionRefused:
 		c.refused.add(m.Caller, now)
 		return true
 	}
-	return c.decide(k, m, whole, now)
+	return c.decideOpening(k, m, datagram, now)
 }
 
-func (c *conn) decide(k opening, m *link.Message, whole []byte, now time.Time) bool {
-	why := c.admit()
-	d := events.Decision{ID: events.FlowOpened, Reason: why, Service: c.service, Zone: c.zone, Caller: m.Caller, Flow: k.flow, Target: c.socket.Addr()}
-	if why == "" {
-		why = c.compare(m)
-		d.Reason = why
+// decideOpening decides on the first datagram of an opening and records the decision.
+// It reports whether quic-go should get the datagram.
+func (c *conn) decideOpening(k openingKey, m *link.Message, datagram []byte, now time.Time) bool {
+	reason := c.admit()
+	d := events.Decision{ID: events.FlowOpened, Reason: reason, Service: c.service, Zone: c.zone, Caller: m.Caller, Flow: k.connIDHash, Target: c.socket.Addr()}
+	if reason == "" {
+		reason = c.compareLoads(m)
+		d.Reason = reason
 	}
 	switch {
-	case why == "":
+	case reason == "":
 		d.Reason = events.ReasonFirst
 		if m.Position > 0 {
 			d.Reason = events.ReasonNext
 		}
-		c.taken.put(k, where{place: placeHere}, now)
+		c.openings.put(k, placement{decision: decisionTaken}, now)
 		c.refused.clear(m.Caller, now)
 		c.log.Decide(d)
 		return true
 	case m.Load > 0 && m.Position == 1:
 		d.ID, d.Target = events.FlowPassed, m.Candidates[0]
-		c.taken.put(k, where{placeBack, d.Target}, now)
+		c.openings.put(k, placement{decisionReturned, d.Target}, now)
 		c.log.Decide(d)
-		c.giveBack(m, whole, d.Target)
+		c.returnOpening(m, datagram, d.Target)
 		return false
-	case !last(m):
-		d.ID, d.Target = events.FlowPassed, m.Candidates[next(m)]
-		c.taken.put(k, where{placeNext, d.Target}, now)
+	case !isLastCandidate(m):
+		d.ID, d.Target = events.FlowPassed, m.Candidates[nextCandidate(m)]
+		c.openings.put(k, placement{decisionPassed, d.Target}, now)
 		c.log.Decide(d)
 		m.Load = 0
-		if why == events.ReasonBusier {
+		if reason == events.ReasonBusier {
 			m.Load = c.load()
 		}
-		c.pass(m, whole, d.Target)
+		c.passOpening(m, datagram, d.Target)
 		return false
 	}
-	// Nobody has room: the caller hears so at once, and truthfully, since
-	// nothing of it was run.
+	// No candidate has capacity. quic-go refuses the opening at once, and the caller
+	// can safely retry, since none of its requests has run.
 	d.ID = events.FlowRefused
-	c.taken.put(k, where{place: placeRefused}, now)
+	c.openings.put(k, placement{decision: decisionRefused}, now)
 	c.refused.add(m.Caller, now)
 	c.log.Decide(d)
 	return true
 }
 
-// returned reports whether the second candidate gave the opening back.
-func returned(m *link.Message) bool { return m.Position == m.Count && m.Count > 1 }
+// wasReturned reports whether the second candidate returned the opening to the first.
+func wasReturned(m *link.Message) bool { return m.Position == m.Count && m.Count > 1 }
 
-// next returns the index of the candidate after this one. One that got an
-// opening back has tried the second, and goes on with the third.
-func next(m *link.Message) uint8 {
-	if returned(m) {
+// nextCandidate returns the index of the candidate to try after this agent. An agent
+// that got an opening back has already tried the second candidate and goes on with the
+// third.
+func nextCandidate(m *link.Message) uint8 {
+	if wasReturned(m) {
 		return 2
 	}
 	return m.Position + 1
 }
 
-// last reports whether nobody is asked after this candidate.
-func last(m *link.Message) bool { return next(m) >= m.Count || spent(m) }
-
-// mostHops keeps an opening from going round. Balancers with unlike views name unlike
-// candidates for its datagrams, and what one agent keeps of the first list may lead a
-// datagram of the second back to where it was.
-const mostHops = link.MaxCandidates + 2
-
-// spent reports whether the opening must be taken or refused where it is.
-func spent(m *link.Message) bool { return m.Number >= mostHops }
-
-// compare lets the less busy of the first two candidates take the opening (the
-// power of two choices; Mitzenmacher, 2001). The first sends its count of flows
-// along; the second takes the opening if it has no more, or gives it back. Both
-// counts are of this moment, so nobody's report can be stale. It costs one hop
-// between agents for an opening, two for about half of them.
-func (c *conn) compare(m *link.Message) events.Reason {
+// isLastCandidate reports whether there is no further candidate to try.
+func isLastCandidate(m *link.Message) bool { return nextCandidate(m) >= m.Count || hopsExhausted(m) }
+
+// maxHops prevents an opening from circulating without end. Balancers with different
+// views name different candidates for its datagrams, and a decision that an agent
+// recorded for the first list may send a datagram of the second list back to an agent
+// that it came from.
+const maxHops = link.MaxCandidates + 2
+
+// hopsExhausted reports whether the opening must be accepted or refused by this agent.
+func hopsExhausted(m *link.Message) bool { return m.Number >= maxHops }
+
+// compareLoads selects the less busy of the first two candidates (power of two choices;
+// Mitzenmacher, 2001). It returns ReasonBusier if the other candidate should take the
+// opening, otherwise an empty reason. The first candidate sends its number of flows
+// along; the second takes the opening if it has no more flows than that, otherwise it
+// returns the opening. Both numbers are current, so no decision depends on a stale load
+// report. The cost is one hop between agents for an opening, and two for about half of
+// them.
+func (c *conn) compareLoads(m *link.Message) events.Reason {
 	switch {
-	case spent(m):
+	case hopsExhausted(m):
 	case m.Position == 0 && m.Count > 1 && c.load() > 0:
 		return events.ReasonBusier
 	case m.Position == 1 && m.Load > 0 && c.load() > m.Load:
@@ -248,38 +265,40 @@
 	return ""
 }
 
-func (c *conn) load() uint16 { return uint16(min(c.flows(), 1<<16-1)) }
+// load returns the number of open flows, limited to the range of link.Message.Load.
+func (c *conn) load() uint16 { return uint16(min(c.flowCount(), 1<<16-1)) }
 
-// pass sends the datagram on to the next candidate, as its opening's first one was.
-func (c *conn) pass(m *link.Message, whole []byte, to netip.AddrPort) {
+// passOpening passes the datagram to the agent that its opening's first datagram was
+// passed to.
+func (c *conn) passOpening(m *link.Message, datagram []byte, to netip.AddrPort) {
 	c.Passed.Add(1)
-	m.Position = min(next(m), m.Count)
-	c.send(m, whole, to)
+	m.Position = min(nextCandidate(m), m.Count)
+	c.send(m, datagram, to)
 }
 
-// giveBack returns the datagram to the agent that had passed its opening on.
-func (c *conn) giveBack(m *link.Message, whole []byte, to netip.AddrPort) {
+// returnOpening returns the datagram to the agent that had passed its opening here.
+func (c *conn) returnOpening(m *link.Message, datagram []byte, to netip.AddrPort) {
 	m.Position = m.Count
-	c.send(m, whole, to)
+	c.send(m, datagram, to)
 }
 
-func (c *conn) send(m *link.Message, whole []byte, to netip.AddrPort) {
+func (c *conn) send(m *link.Message, datagram []byte, to netip.AddrPort) {
 	m.Number++
-	(*c.keys.Load())[0].Put(whole, m)
-	c.socket.WriteToUDPAddrPort(whole, to)
+	(*c.keys.Load())[0].Put(datagram, m)
+	c.socket.WriteToUDPAddrPort(datagram, to)
 }
 
-type outgoing struct {
+type sendBuffer struct {
 	b [link.HeaderSize + link.MaxPayload]byte
 }
 
-var outgoings = sync.Pool{New: func() any { return new(outgoing) }}
+var sendBuffers = sync.Pool{New: func() any { return new(sendBuffer) }}
 
-// WriteTo sends a datagram to a caller by a live balancer.
+// WriteTo sends a datagram to a caller through a live balancer.
 func (c *conn) WriteTo(p []byte, to net.Addr) (int, error) {
 	u, ok := to.(*net.UDPAddr)
 	if !ok || len(p) > link.MaxPayload {
-		return len(p), nil // QUIC repeats what is lost, in smaller datagrams
+		return len(p), nil // counts as lost; QUIC retransmits in smaller datagrams
 	}
 	a := u.AddrPort()
 	a = netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
@@ -288,8 +307,8 @@
 		c.Unrouted.Add(1)
 		return len(p), nil
 	}
-	o := outgoings.Get().(*outgoing)
-	defer outgoings.Put(o)
+	o := sendBuffers.Get().(*sendBuffer)
+	defer sendBuffers.Put(o)
 	m := link.Message{Kind: link.KindReturn, Zone: c.zone, Service: c.service, Caller: a}
 	(*c.keys.Load())[0].Put(o.b[:], &m)
 	n := copy(o.b[link.HeaderSize:], p)
@@ -314,20 +333,21 @@
 // SetWriteDeadline sets the write deadline of the link's socket.
 func (c *conn) SetWriteDeadline(t time.Time) error { return c.socket.SetWriteDeadline(t) }
 
-// refusals are the callers whose opening is to be refused by quic-go, which
-// asks by address only. Bounded like openings.
-type refusals struct {
-	o openings
+// refusedCallers are the callers whose opening quic-go must refuse. They are identified
+// by address, since quic-go passes nothing else to the callback that refuses. The table
+// is bounded.
+type refusedCallers struct {
+	table openingTable
 }
 
-func (r *refusals) add(a netip.AddrPort, now time.Time) {
-	r.o.put(opening{caller: a}, where{place: placeRefused}, now)
+func (r *refusedCallers) add(a netip.AddrPort, now time.Time) {
+	r.table.put(openingKey{caller: a}, placement{decision: decisionRefused}, now)
 }
 
-func (r *refusals) has(a netip.AddrPort, now time.Time) bool {
-	return r.o.get(opening{caller: a}, now).place == placeRefused
+func (r *refusedCallers) has(a netip.AddrPort, now time.Time) bool {
+	return r.table.get(openingKey{caller: a}, now).decision == decisionRefused
 }
 
-func (r *refusals) clear(a netip.AddrPort, now time.Time) {
-	r.o.put(opening{caller: a}, where{}, now)
+func (r *refusedCallers) clear(a netip.AddrPort, now time.Time) {
+	r.table.put(openingKey{caller: a}, placement{}, now)
 }
--- a/agent/front_test.go
+++ b/agent/front_test.go
@@ -16,20 +16,20 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// A clerk uploads a scan to an agent that is full; its sibling is full, too, and
-// refuses after it has read a part. The scan must not be refused for that: it is
-// kept whole, and sent when a slot is free.
+// Guards against an upload that is refused because a full sibling has read part of it.
+// The agent and its siblings are all full. The upload must be kept whole and run when a
+// slot is free.
 func TestUploadIsNotSpentOnAFullSibling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(3, guard.Off{})
-		w.calm = true
+		w := newCluster(3, guard.Off{})
+		w.noFaults = true
 		for _, f := range w.agents {
 			for range 3 {
 				f.gate.TryAcquire()
 			}
 		}
 		time.AfterFunc(time.Second, func() { w.agents[0].gate.Release(upstream.Sign{}) })
-		scan := strings.Repeat("x", 4*replayMost)
+		scan := strings.Repeat("x", 4*maxReplayBytes)
 		r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/upload", strings.NewReader(scan))
 		rec := httptest.NewRecorder()
 		w.agents[0].ServeHTTP(rec, r)
@@ -39,32 +39,33 @@
 	})
 }
 
-// An upstream dies while a teacher's screen is read from it. Reading it again
-// elsewhere harms nobody, so the screen must come; an order, which may have run,
-// must not be sent again, and nothing may be when the retries are spent.
+// Guards against a request that runs twice, and against a read that fails needlessly.
+// An upstream dies while a request runs. A read may be sent again and must succeed
+// elsewhere; an order may have run and must not be sent again, and nothing may be once
+// the retry budget is used up.
 func TestOnlyReadingIsRepeatedAfterAnUnknownOutcome(t *testing.T) {
 	for name, x := range map[string]struct {
-		method string
-		spent  bool
-		status int
-		tries  int
+		method       string
+		retriesSpent bool
+		status       int
+		tries        int
 	}{
-		"a screen":                      {http.MethodGet, false, http.StatusOK, 2},
-		"an order without a key":        {http.MethodPost, false, http.StatusBadGateway, 1},
-		"an update":                     {http.MethodPut, false, http.StatusBadGateway, 1},
-		"a screen, all retries spent":   {http.MethodGet, true, http.StatusBadGateway, 1},
-		"what an upstream may not know": {"PROPFIND", false, http.StatusBadGateway, 1},
+		"read":                       {http.MethodGet, false, http.StatusOK, 2},
+		"order without a key":        {http.MethodPost, false, http.StatusBadGateway, 1},
+		"PUT":                        {http.MethodPut, false, http.StatusBadGateway, 1},
+		"read, retry budget used up": {http.MethodGet, true, http.StatusBadGateway, 1},
+		"uncommon method":            {"PROPFIND", false, http.StatusBadGateway, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(1, guard.Off{})
-				w.calm = true
-				dies := &dyingUp{}
-				w.agents[0].client = upstream.NewClientOver(worldAddr(0), dies)
+				w := newCluster(1, guard.Off{})
+				w.noFaults = true
+				dies := &dyingUpstream{}
+				w.agents[0].client = upstream.NewClientOver(agentAddr(0), dies)
 				for range 200 {
 					w.agents[0].retries.earn()
 				}
-				for x.spent && w.agents[0].retries.spend() {
+				for x.retriesSpent && w.agents[0].retries.spend() {
 				}
 				rec := httptest.NewRecorder()
 				w.agents[0].ServeHTTP(rec, httptest.NewRequestWithContext(t.Context(), x.method, "/screen", nil))
@@ -76,42 +77,43 @@
 	}
 }
 
-// dyingUp is the way to an upstream that dies with each request it has read.
-type dyingUp struct{ asked int }
+// dyingUpstream is the transport to an upstream that dies with each request that it has
+// read.
+type dyingUpstream struct{ asked int }
 
 // RoundTrip reads the request and fails.
-func (u *dyingUp) RoundTrip(r *http.Request) (*http.Response, error) {
+func (u *dyingUpstream) RoundTrip(r *http.Request) (*http.Response, error) {
 	u.asked++
 	httptrace.ContextClientTrace(r.Context()).GotConn(httptrace.GotConnInfo{})
-	return nil, errWire
+	return nil, errConnCut
 }
 
-// A clerk picks a film in place of a scan. The service takes bodies of 64 kB: the
-// film must be refused with the reason, at once if its length is said, and its
-// upstream must not be held for broken because of it.
+// Guards against a body over the limit that reaches the upstream or makes it look
+// broken. A body that is too long must be refused with the reason, at once if its
+// length is declared, and the upstream must not be considered cold because of it.
 func TestBodiesOverTheLimitAreRefused(t *testing.T) {
-	const most = 64 << 10
+	const maxBody = 64 << 10
 	for name, x := range map[string]struct {
-		length  int
-		said    bool
-		status  int
-		outcome Outcome
+		length   int
+		declared bool
+		status   int
+		outcome  Outcome
 	}{
-		"as long as allowed, said":   {most, true, http.StatusOK, ""},
-		"as long as allowed, unsaid": {most, false, http.StatusOK, ""},
-		"longer, said":               {most + 1, true, http.StatusRequestEntityTooLarge, OutcomeNotRun},
-		"longer, unsaid":             {most + 1, false, http.StatusRequestEntityTooLarge, OutcomeUnknown},
+		"at the limit, declared":     {maxBody, true, http.StatusOK, ""},
+		"at the limit, undeclared":   {maxBody, false, http.StatusOK, ""},
+		"over the limit, declared":   {maxBody + 1, true, http.StatusRequestEntityTooLarge, OutcomeNotRun},
+		"over the limit, undeclared": {maxBody + 1, false, http.StatusRequestEntityTooLarge, OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(1, guard.Off{})
-				w.calm = true
+				w := newCluster(1, guard.Off{})
+				w.noFaults = true
 				f := w.agents[0]
 				s := *f.service.Load()
-				s.Upstreams.Body = most
+				s.Upstreams.Body = maxBody
 				f.service.Store(&s)
 				r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/upload", strings.NewReader(strings.Repeat("x", x.length)))
-				if !x.said {
+				if !x.declared {
 					r.ContentLength = -1
 				}
 				rec := httptest.NewRecorder()
@@ -119,25 +121,25 @@
 				if rec.Code != x.status || Outcome(rec.Header().Get(HeaderOutcome)) != x.outcome {
 					t.Errorf("status %d, outcome %q: %.200s", rec.Code, rec.Header().Get(HeaderOutcome), rec.Body)
 				}
-				time.Sleep(upstreamStops) // a request that was broken off holds its slot for a moment
+				time.Sleep(slotTimeout) // an aborted request holds its slot for a moment
 				if l := f.gate.Load(); l.Slots != 3 || l.Running != 0 {
-					t.Errorf("the upstream is held for cold, or a slot is lost: %+v", l)
+					t.Errorf("the upstream is considered cold, or a slot is lost: %+v", l)
 				}
 			})
 		})
 	}
 }
 
-// A feed was passed to a sibling in another zone, which goes out. The flow ends at
-// an agent whose zone is in, so nothing closes it, and the zone's upstream sent on
-// (seen after 3.2 s). It must be ended, and nothing more be taken, until the zone
-// is back.
+// Guards against a feed that continues in an availability zone that is out. A feed was
+// passed to a sibling in that zone. Its flow ends at an agent whose zone is in, so
+// closing flows did not end it, and the upstream still sent after 3.2 s. The feed must
+// be cut off, and no request be taken until the zone is back.
 func TestWhatWasPassedToAZoneEndsWithIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(1, guard.Off{})
-		w.calm = true
+		w := newCluster(1, guard.Off{})
+		w.noFaults = true
 		f := w.agents[0]
-		f.client = upstream.NewClientOver(worldAddr(0), endlessUp{})
+		f.client = upstream.NewClientOver(agentAddr(0), endlessUpstream{})
 		ask := func(passed string) (rec *httptest.ResponseRecorder) {
 			r := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/feed", nil)
 			r.Header.Set(headerPassed, passed)
@@ -145,7 +147,7 @@
 			rec = httptest.NewRecorder()
 			defer func() {
 				if recover() == http.ErrAbortHandler {
-					rec.Code = 0 // cut, as its reader sees it
+					rec.Code = 0 // the response was cut off
 				}
 			}()
 			f.peerHandler().ServeHTTP(rec, r)
@@ -157,37 +159,37 @@
 		synctest.Wait()
 		start := time.Now()
 		out.Store(true)
-		f.outside.follow(&out)
+		f.siblingRequests.syncZone(&out)
 		if code := <-done; code != 0 || time.Since(start) > time.Second {
-			t.Errorf("the feed ended after %v with status %d; it must be cut at once", time.Since(start), code)
+			t.Errorf("the feed ended after %v with status %d; it must be cut off at once", time.Since(start), code)
 		}
 		for passed, want := range map[string]Outcome{passedWork: OutcomeNotRun, passedHome: OutcomeUnknown} {
 			if got := ask(passed).Header().Get(HeaderOutcome); Outcome(got) != want {
-				t.Errorf("%s to a zone that is out: outcome %q, want %q", passed, got, want)
+				t.Errorf("%s passed to a zone that is out: outcome %q, want %q", passed, got, want)
 			}
 		}
 		out.Store(false)
-		f.outside.follow(&out)
+		f.siblingRequests.syncZone(&out)
 		go func() { done <- ask(passedWork).Code }()
 		synctest.Wait()
 		select {
 		case code := <-done:
-			t.Errorf("after the zone's return a feed ended with status %d", code)
+			t.Errorf("after the zone came back a feed ended with status %d", code)
 		default:
 		}
 		out.Store(true)
-		f.outside.follow(&out)
+		f.siblingRequests.syncZone(&out)
 		<-done
 	})
 }
 
-// endlessUp is the way to an upstream that answers and never ends.
-type endlessUp struct{}
+// endlessUpstream is the transport to an upstream whose responses do not end.
+type endlessUpstream struct{}
 
-// RoundTrip returns an answer whose body ends with the request's context.
-func (endlessUp) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip returns a response whose body ends with the request's context.
+func (endlessUpstream) RoundTrip(r *http.Request) (*http.Response, error) {
 	httptrace.ContextClientTrace(r.Context()).GotConn(httptrace.GotConnInfo{})
-	a := response(http.StatusOK, r.Header.Get(upstream.HeaderRequest), "")
+	a := newResponse(http.StatusOK, r.Header.Get(upstream.HeaderRequest), "")
 	in, out := io.Pipe()
 	context.AfterFunc(r.Context(), func() { out.CloseWithError(r.Context().Err()) })
 	a.Body = in
--- a/agent/handover.go
+++ b/agent/handover.go
@@ -18,68 +18,71 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// Headers between agents.
+// Headers of requests between agents.
 const (
 	headerPassed  = "Pomeloway-Passed"
 	headerFlow    = "Pomeloway-Flow"
 	headerService = "Pomeloway-Service"
 )
 
-// Values of headerPassed.
+// Values of headerPassed: passedWork for a job offered to a sibling, passedHome for a
+// request sent to its key's home.
 const (
 	passedWork = "work"
 	passedHome = "home"
 )
 
-// pass offers the job to one more sibling, and to a second if the first was lost
-// with a request that only reads.
-func (d *dispatcher) pass(ctx context.Context, j *job) (*answer, error) {
-	if j.passes >= mostPasses {
+// passToSibling offers the job to one more sibling. If the outcome there is unknown and
+// the job's method only reads, it offers the job to another one.
+func (d *dispatcher) passToSibling(ctx context.Context, j *job) (*response, error) {
+	if j.passCount >= maxPasses {
 		return nil, refuseFull("no sibling has a free slot")
 	}
 	m, ok := d.siblings.pick(j.tried)
 	if !ok {
 		return nil, refuseFull("there is no other upstream to try")
 	}
-	j.passes++
+	j.passCount++
 	j.tried[m.ID] = true
-	if j.large() && !d.hasRoom(ctx, m) {
+	if j.large() && !d.hasFreeSlot(ctx, m) {
 		return nil, refuseFull("no sibling has a free slot")
 	}
 	d.counts.Passed.Add(1)
 	d.logRequest(events.RequestPassed, j, string(m.ID))
-	a, err := d.send(ctx, j, m.Peer.String(), passedWork, "")
+	a, err := d.callPeer(ctx, j, m.Peer.String(), passedWork, "")
 	if a != nil {
-		d.siblings.hear(m.ID, a.Header)
+		d.siblings.recordFreeSlots(m.ID, a.Header)
 	}
-	got, err := d.readPassed(a, err)
+	got, err := d.readPeerResponse(a, err)
 	if got != nil || isNotRun(err) || !j.safe() || ctx.Err() != nil || !d.retries.spend() {
 		return got, err
 	}
-	if again, _ := d.pass(ctx, j); again != nil {
+	if again, _ := d.passToSibling(ctx, j); again != nil {
 		return again, nil
 	}
 	return nil, err
 }
 
-// large reports whether the job's body is too long to be sent a second time.
-func (j *job) large() bool { return j.r.ContentLength < 0 || j.r.ContentLength > replayMost }
+// large reports whether the body may be too long to be sent a second time.
+func (j *job) large() bool { return j.r.ContentLength < 0 || j.r.ContentLength > maxReplayBytes }
 
-// pathRoom is where a sibling says how many slots are free, in headerFree.
-const pathRoom = "/room"
+// pathFreeSlots is the path at which an agent reports its number of free slots, in
+// headerFree.
+const pathFreeSlots = "/room"
 
-// roomTimeout bounds the question, which is worth less than a slot.
-const roomTimeout = time.Second
+// freeSlotsTimeout limits the query for free slots. A free slot is not worth a longer
+// wait.
+const freeSlotsTimeout = time.Second
 
-// hasRoom asks a sibling whether it has a free slot.
+// hasFreeSlot asks a sibling whether it has a free slot.
 //
-// A sibling that refuses an upload has read some of it by then, and the upload
-// can't be offered to anybody else; it shows as uploads refused while slots are
-// free. So a long one is sent only to a sibling that says to have room.
-func (d *dispatcher) hasRoom(ctx context.Context, m fleet.Member) bool {
-	ctx, stop := context.WithTimeout(ctx, roomTimeout)
+// A sibling that refuses an upload has already read part of it, and the upload can't be
+// offered to any other agent: uploads would be refused while slots are free. So a long
+// body is sent only to a sibling that reports a free slot.
+func (d *dispatcher) hasFreeSlot(ctx context.Context, m fleet.Member) bool {
+	ctx, stop := context.WithTimeout(ctx, freeSlotsTimeout)
 	defer stop()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "https://"+m.Peer.String()+pathRoom, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "https://"+m.Peer.String()+pathFreeSlots, nil)
 	if err != nil {
 		return false
 	}
@@ -89,18 +92,18 @@
 		return false
 	}
 	defer a.Body.Close()
-	d.siblings.hear(m.ID, a.Header)
+	d.siblings.recordFreeSlots(m.ID, a.Header)
 	n, err := strconv.Atoi(a.Header.Get(headerFree))
 	return err == nil && n > 0
 }
 
-// send makes the request of another agent.
-func (d *dispatcher) send(ctx context.Context, j *job, peer, passed, key string) (*http.Response, error) {
+// callPeer sends the job to another agent and returns its response.
+func (d *dispatcher) callPeer(ctx context.Context, j *job, peer, passed, key string) (*http.Response, error) {
 	body, ok := j.body.reader()
 	if !ok {
 		return nil, refuseFull("too much of the request was read to send it again")
 	}
-	r := newOutgoing(ctx, j.r, body)
+	r := newForwardedRequest(ctx, j.r, body)
 	r.URL.Scheme, r.URL.Host = "https", peer
 	r.Header.Set(headerPassed, passed)
 	r.Header.Set(headerFlow, strconv.FormatUint(uint64(j.flow), 16))
@@ -109,7 +112,7 @@
 	if key != "" {
 		r.Header.Set(idempotency.Header, key)
 	}
-	setTimeout(ctx, r)
+	setTimeoutHeader(ctx, r)
 	a, err := d.peers.RoundTrip(r)
 	if err == nil {
 		return a, nil
@@ -120,15 +123,15 @@
 	return nil, err
 }
 
-// neverSent reports whether a failed call to a peer proves that the peer did
-// not take the request: no connection came about, or the peer said so.
+// neverSent reports whether a failed call to a peer proves that the peer did not
+// process the request: no connection was established, or the peer rejected the request.
 func neverSent(err error) bool {
 	var op *net.OpError
 	var idle *quic.IdleTimeoutError
-	var hand *quic.HandshakeTimeoutError
+	var handshake *quic.HandshakeTimeoutError
 	var h *http3.Error
 	switch {
-	case errors.As(err, &hand):
+	case errors.As(err, &handshake):
 		return true
 	case errors.As(err, &op):
 		return op.Op == "dial"
@@ -140,8 +143,9 @@
 	return false
 }
 
-// readPassed tells a peer's refusal from its upstream's answer.
-func (d *dispatcher) readPassed(a *http.Response, err error) (*answer, error) {
+// readPeerResponse returns the response of a peer's upstream, or the peer's refusal as
+// an error.
+func (d *dispatcher) readPeerResponse(a *http.Response, err error) (*response, error) {
 	switch {
 	case isNotRun(err):
 		return nil, err
@@ -151,18 +155,19 @@
 	switch Outcome(a.Header.Get(HeaderOutcome)) {
 	case OutcomeNotRun:
 		a.Body.Close()
-		return nil, &refusal{a.StatusCode, "full", "no upstream has a free slot", "a sibling refused", OutcomeNotRun, retrySoon}
+		return nil, &refusal{a.StatusCode, "full", "no upstream has a free slot", "a sibling refused", OutcomeNotRun, fullRetryDelay}
 	case OutcomeUnknown:
 		a.Body.Close()
 		return nil, refuseUnknown("the sibling that had it does not know")
 	}
 	d.running.Add(1)
-	return &answer{Response: a, end: func(error) {
+	return &response{Response: a, finish: func(error) {
 		d.running.Add(-1)
 		a.Body.Close()
 	}}, nil
 }
 
-func memberTried(id fleet.MemberID) map[fleet.MemberID]bool {
+// newTried returns a set of tried members that contains the given one.
+func newTried(id fleet.MemberID) map[fleet.MemberID]bool {
 	return map[fleet.MemberID]bool{id: true}
 }
--- a/agent/leave.go
+++ b/agent/leave.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// spread is how long after it said so a leaving agent still serves new
-	// requests of its old flows by passing them on; then callers are told to
-	// open new flows.
-	spread = 2 * time.Second
-	// keyPoll is how often the end of the journal's duty is looked at.
-	keyPoll     = 200 * time.Millisecond
-	healthEvery = time.Second
-	// unguarded is how long an agent without its drain goes on before it drops
-	// everything, in a trial of the report.
-	unguarded = 5 * time.Second
+	// goAwayDelay is how long a leaving agent still serves new requests on its open
+	// flows, by passing them on. Then it tells callers to open new flows.
+	goAwayDelay = 2 * time.Second
+	// journalPollInterval is how often a leaving agent checks whether the last key that
+	// it issued has expired.
+	journalPollInterval = 200 * time.Millisecond
+	healthInterval      = time.Second
+	// noDrainDelay is how long an agent whose drain guard is switched off continues
+	// before it stops without draining. Only trials switch it off.
+	noDrainDelay = 5 * time.Second
 )
 
-// leave waits for the stop and leaves: no new flows, no new work for the
-// upstream, then no new requests, and at last, when everything that runs has
-// ended, no process.
+// leave waits for the stop signal and drains the agent. First the agent accepts no new
+// flows and gives its upstream no new work, then it accepts no new requests, and it
+// stops when everything that runs has ended.
 func (a *Agent) leave(ctx, stopped context.Context) error {
 	select {
 	case <-stopped.Done():
@@ -47,58 +47,60 @@
 	}()
 	a.Log.Add(events.Draining, slog.String("program", "agent"), slog.Int("flows", a.flows.len()), slog.Int64("running", a.disp.running.Load()))
 	a.stopping.Store(true)
-	if a.disp.guards.Has(guard.Drain) {
-		clock.Sleep(ctx, unguarded)
+	if a.disp.disabledGuards.Has(guard.Drain) {
+		clock.Sleep(ctx, noDrainDelay)
 		return nil
 	}
 	a.disp.leaving.Store(true)
 	a.SetReady(false)
 	a.Node.SetPhase(fleet.PhaseLeaving)
-	clock.Sleep(ctx, spread)
-	end, stop := context.WithTimeout(ctx, a.opts.Drain)
+	clock.Sleep(ctx, goAwayDelay)
+	drainCtx, stop := context.WithTimeout(ctx, a.opts.Drain)
 	defer stop()
-	a.h3.Shutdown(end) // GOAWAY, then waits for the running requests
-	a.stayHome(end)
+	a.h3.Shutdown(drainCtx) // sends GOAWAY, then waits for the running requests
+	a.waitForKeys(drainCtx)
 	a.Node.Leave()
 	return nil
 }
 
-// stayHome goes on answering for the idempotency keys that were issued here.
+// waitForKeys waits until the idempotency keys that the agent issued have expired and
+// no request runs.
 //
-// If the home went at once, a retry of an order whose answer was lost would
-// find nobody who knows of it, and end as unknown for a planned stop.
-func (a *Agent) stayHome(ctx context.Context) {
-	for time.Now().Before(a.front.orders.journal.Until()) || a.disp.running.Load() > 0 {
-		if !clock.Sleep(ctx, keyPoll) {
+// If the home of a key stopped earlier, a retry of a request whose response was lost
+// would find no agent that knows the outcome: a planned stop would cause unknown
+// outcomes.
+func (a *Agent) waitForKeys(ctx context.Context) {
+	for time.Now().Before(a.handler.keyedRequests.journal.Until()) || a.disp.running.Load() > 0 {
+		if !clock.Sleep(ctx, journalPollInterval) {
 			return
 		}
 	}
 }
 
-// watchHealth notices that the upstream itself drains. The end point may lag or
-// mislead, so it is believed in one direction only: new work goes elsewhere
-// while it says 503, and nothing is believed of an upstream that says all is well.
+// watchHealth detects that the upstream itself drains. The health endpoint may lag or
+// be wrong, so only a 503 is acted on: while it lasts, new work goes elsewhere. Other
+// results are not taken as proof that the upstream is healthy.
 func (a *Agent) watchHealth(ctx context.Context) error {
 	if a.opts.Health == "" {
 		<-ctx.Done()
 		return nil
 	}
-	for clock.Sleep(ctx, healthEvery) {
-		limit, stop := context.WithTimeout(ctx, healthEvery)
+	for clock.Sleep(ctx, healthInterval) {
+		limit, stop := context.WithTimeout(ctx, healthInterval)
 		n, err := a.disp.client.Health(limit, a.opts.Health)
 		stop()
-		a.setDrains(err == nil && n == http.StatusServiceUnavailable)
+		a.setUpstreamDraining(err == nil && n == http.StatusServiceUnavailable)
 	}
 	return nil
 }
 
-func (a *Agent) setDrains(drains bool) {
+func (a *Agent) setUpstreamDraining(draining bool) {
 	phase := a.Node.Self().Phase
 	switch {
-	case drains && phase == fleet.PhaseReady:
+	case draining && phase == fleet.PhaseReady:
 		a.disp.leaving.Store(true)
 		a.Node.SetPhase(fleet.PhaseLeaving)
-	case !drains && phase == fleet.PhaseLeaving && !a.stopping.Load():
+	case !draining && phase == fleet.PhaseLeaving && !a.stopping.Load():
 		a.disp.leaving.Store(false)
 		a.Node.SetPhase(fleet.PhaseReady)
 	}
--- a/agent/openings.go
+++ b/agent/openings.go
@@ -1,10 +1,12 @@
-// This file remembers what became of openings. One opening is several
-// datagrams, sprayed over balancers and repeated by the caller, and all of them
-// must end at one agent; so an agent keeps, for some seconds, which it took and
-// to whom it passed the others, whatever candidates their next datagram names. The table is bounded and kept in two
-// generations: when the young one is full or old, it becomes the old one and the
-// old one is dropped. An operation costs one or two map look-ups; given up is an
-// exact lifetime, which is between one and two periods.
+// This file records the decisions on openings. An opening has several datagrams, which
+// arrive through different balancers and are retransmitted by the caller, and all of
+// them must end at one agent. So an agent remembers for some seconds which openings it
+// took and to which agent it passed the others, whatever candidates their later
+// datagrams name. The table is bounded and has two generations: when the current one is
+// full or old, it becomes the previous one, and the entries of the previous one are
+// dropped. An operation costs one or two map lookups. Limitation: the lifetime of an
+// entry is not exact; it is between one and two periods, or shorter if the table fills
+// up.
 
 package agent
 
@@ -14,68 +16,72 @@
 	"time"
 )
 
-// place is where an opening went.
-type place uint8
+// decision is what an agent decided on an opening.
+type decision uint8
 
 const (
-	placeUnknown place = iota
-	placeHere
-	placeNext
-	// placeBack: the agent that passed it on is less busy, and has it back.
-	placeBack
-	placeRefused
+	decisionNone decision = iota
+	decisionTaken
+	decisionPassed
+	// decisionReturned: the opening was returned to the agent that had passed it on,
+	// because that agent has fewer flows or this one can't take it.
+	decisionReturned
+	decisionRefused
 )
 
-// where is a place and the agent that it went to.
-type where struct {
-	place place
-	to    netip.AddrPort
+// placement is a decision and the agent that the opening was sent to, if any.
+type placement struct {
+	decision decision
+	target   netip.AddrPort
 }
 
 const (
-	openingLife  = 10 * time.Second
-	openingsMost = 32_768
+	openingPeriod = 10 * time.Second
+	maxOpenings   = 32_768
 )
 
-// opening names an opening by its first connection ID and its caller.
-type opening struct {
-	flow   uint64
-	caller netip.AddrPort
+// openingKey identifies an opening by a hash of its first connection ID and by its
+// caller.
+type openingKey struct {
+	connIDHash uint64
+	caller     netip.AddrPort
 }
 
-type openings struct {
-	mu         sync.Mutex
-	young, old map[opening]where
-	turned     time.Time
+// openingTable maps openings to their placements for a limited time. Its zero value is
+// ready to use.
+type openingTable struct {
+	mu                sync.Mutex
+	current, previous map[openingKey]placement
+	rotatedAt         time.Time
 }
 
-func (o *openings) get(k opening, now time.Time) where {
+func (o *openingTable) get(k openingKey, now time.Time) placement {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.turn(now)
-	if w, ok := o.young[k]; ok {
+	o.rotate(now)
+	if w, ok := o.current[k]; ok {
 		return w
 	}
-	return o.old[k]
+	return o.previous[k]
 }
 
-func (o *openings) put(k opening, w where, now time.Time) {
+func (o *openingTable) put(k openingKey, w placement, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.turn(now)
-	if o.young == nil {
-		o.young = map[opening]where{}
+	o.rotate(now)
+	if o.current == nil {
+		o.current = map[openingKey]placement{}
 	}
-	o.young[k] = w
+	o.current[k] = w
 }
 
-func (o *openings) turn(now time.Time) {
-	if now.Sub(o.turned) < openingLife && len(o.young) < openingsMost {
+func (o *openingTable) rotate(now time.Time) {
+	if now.Sub(o.rotatedAt) < openingPeriod && len(o.current) < maxOpenings {
 		return
 	}
-	o.old = o.young
-	if now.Sub(o.turned) >= 2*openingLife {
-		o.old = nil // both generations are from before a long quiet time
+	o.previous = o.current
+	if now.Sub(o.rotatedAt) >= 2*openingPeriod {
+		o.previous = nil // both generations are too old
 	}
-	o.young, o.turned = nil, now
+	o.current, o.rotatedAt = nil, now
 }
--- a/agent/paths.go
+++ b/agent/paths.go
@@ -1,10 +1,10 @@
-// This file chooses the balancer that a flow's answers go through. Callers are
-// spread over a fixed number of slots and each slot has the living balancer that
-// ranks highest for it (rendezvous hashing). So a balancer that goes moves its own
-// callers only and spreads them over all others. A choice costs one look-up; a
-// change of the living, some hundred thousand hashes with 400 of them. Given up:
-// an even spread over many balancers by one agent, which the number of agents
-// makes up for.
+// This file chooses the balancer through which a flow's outgoing datagrams are sent.
+// Callers are hashed into a fixed number of buckets, and each bucket uses the live
+// balancer that ranks highest for it (rendezvous hashing). So when a balancer fails,
+// only its own callers move, and they spread over all others. A choice costs one
+// lookup; a change of the live balancers costs some hundred thousand hashes with 400 of
+// them. Limitation: one agent does not spread its callers evenly over many balancers; a
+// large number of agents does.
 
 package agent
 
@@ -18,49 +18,50 @@
 	"pomeloway.example/pomeloway/fleet"
 )
 
-// pathDead is how long after it was last heard a balancer is no longer used: one
-// heartbeat and a half. A feed's datagrams are lost for so long when it dies, which
-// QUIC repeats, and no caller has to speak first. A heartbeat that is lost costs
-// little: the flows go by another balancer until the next.
-const pathDead = 800 * time.Millisecond
+// balancerTimeout is how long after its last heartbeat a balancer is no longer used:
+// one and a half heartbeat intervals. When a balancer fails, the datagrams of a feed
+// are lost for this time; QUIC retransmits them, and the caller does not have to send
+// anything first. A lost heartbeat costs little: the flows use another balancer until
+// the next one.
+const balancerTimeout = 800 * time.Millisecond
 
-// pathSlots is how many groups of callers there are; each moves as one.
-const pathSlots = 512
+// pathBuckets is the number of groups of callers. The callers of a group move together.
+const pathBuckets = 512
 
-// paths are the balancers that an agent may send answers through.
+// paths holds the balancers through which an agent may send to callers.
 type paths struct {
-	mu    sync.Mutex
-	heard map[netip.AddrPort]time.Time
-	zones map[netip.AddrPort]bundle.ZoneID
-	// live are those heard lately, in a fixed order; spare are the rest that
-	// the fleet's view names, for an agent nobody has spoken to yet.
-	live, spare []netip.AddrPort
-	// slots are the balancers by the caller's hash; all are valid or none.
-	slots [pathSlots]netip.AddrPort
-	// moved is told of each change of live.
-	moved func(live []netip.AddrPort)
+	mu        sync.Mutex
+	lastHeard map[netip.AddrPort]time.Time
+	zones     map[netip.AddrPort]bundle.ZoneID
+	// live are the balancers with a recent heartbeat, sorted by address; fallback are
+	// the ready balancers in the fleet's view, used while no balancer is live.
+	live, fallback []netip.AddrPort
+	// buckets maps a caller's hash to a balancer. All entries are valid, or none.
+	buckets [pathBuckets]netip.AddrPort
+	// onChange is called after each change of live.
+	onChange func(live []netip.AddrPort)
 }
 
-// beat notes a heartbeat from a balancer.
-func (p *paths) beat(a netip.AddrPort, z bundle.ZoneID, now time.Time) {
+// recordHeartbeat records a heartbeat of a balancer.
+func (p *paths) recordHeartbeat(a netip.AddrPort, z bundle.ZoneID, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.heard == nil {
-		p.heard, p.zones = map[netip.AddrPort]time.Time{}, map[netip.AddrPort]bundle.ZoneID{}
+	if p.lastHeard == nil {
+		p.lastHeard, p.zones = map[netip.AddrPort]time.Time{}, map[netip.AddrPort]bundle.ZoneID{}
 	}
-	_, known := p.heard[a]
-	p.heard[a], p.zones[a] = now, z
+	_, known := p.lastHeard[a]
+	p.lastHeard[a], p.zones[a] = now, z
 	if !known {
-		p.rebuild(now)
+		p.refreshLive(now)
 	}
 }
 
-// review drops the balancers that fell silent or whose zone is out, and takes
-// the spare ones from the members.
-func (p *paths) review(ms []fleet.Member, b *bundle.Bundle, now time.Time) {
+// updateMembers drops the balancers that timed out, are leaving or are in an
+// availability zone that is out. It takes fallback from the members.
+func (p *paths) updateMembers(ms []fleet.Member, b *bundle.Bundle, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.spare = nil
+	p.fallback = nil
 	leaving := map[netip.AddrPort]bool{}
 	for _, m := range ms {
 		if m.Role != fleet.RoleBalancer {
@@ -70,32 +71,32 @@
 			leaving[m.Link] = true
 			continue
 		}
-		p.spare = append(p.spare, m.Link)
+		p.fallback = append(p.fallback, m.Link)
 	}
-	for a := range p.heard {
+	for a := range p.lastHeard {
 		if leaving[a] || b.ZoneOut(p.zones[a]) {
-			delete(p.heard, a)
+			delete(p.lastHeard, a)
 		}
 	}
-	p.rebuild(now)
+	p.refreshLive(now)
 	if len(p.live) == 0 {
-		p.assign() // by the spare, which are new
+		p.assignBuckets() // from fallback, which has changed
 	}
 }
 
-// expire drops the balancers that fell silent.
+// expire drops the balancers that timed out.
 func (p *paths) expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.rebuild(now)
+	p.refreshLive(now)
 }
 
-// rebuild makes the list anew; p.mu is held.
-func (p *paths) rebuild(now time.Time) {
+// refreshLive recomputes live, and the buckets if live has changed. p.mu must be held.
+func (p *paths) refreshLive(now time.Time) {
 	var live []netip.AddrPort
-	for a, t := range p.heard {
-		if now.Sub(t) > pathDead {
-			delete(p.heard, a)
+	for a, t := range p.lastHeard {
+		if now.Sub(t) > balancerTimeout {
+			delete(p.lastHeard, a)
 			continue
 		}
 		live = append(live, a)
@@ -106,46 +107,47 @@
 	if !changed {
 		return
 	}
-	p.assign()
-	if p.moved != nil {
-		p.moved(live)
+	p.assignBuckets()
+	if p.onChange != nil {
+		p.onChange(live)
 	}
 }
 
-// assign gives each slot its balancer; p.mu is held.
+// assignBuckets assigns a balancer to each bucket. p.mu must be held.
 //
-// By the remainder of a hash over the list, every change would move nearly all
-// flows, and balancers that are replaced one after another in the list's order
-// would keep the dead one at the same place: the same callers hear nothing for as
-// long as that goes on. It shows as openings that never succeed from some ports.
-func (p *paths) assign() {
+// If a caller's hash modulo the length of the list selected its balancer, every change
+// of the list would move nearly all flows. And if balancers were replaced one after
+// another in the order of the list, the dead one would always be at the same index: the
+// same callers would receive nothing for as long as the replacement lasts, and openings
+// from some ports would never succeed.
+func (p *paths) assignBuckets() {
 	from := p.live
 	if len(from) == 0 {
-		from = p.spare
+		from = p.fallback
 	}
 	hashes := make([]uint64, len(from))
 	for i, a := range from {
-		b, _ := a.MarshalBinary() // has no error
+		b, _ := a.MarshalBinary() // never fails
 		hashes[i] = fleet.HashOf(b)
 	}
-	for slot := range p.slots {
+	for bucket := range p.buckets {
 		best, score := netip.AddrPort{}, uint64(0)
 		for i, h := range hashes {
-			if x := fleet.Mix(uint64(slot), h); x >= score {
+			if x := fleet.Mix(uint64(bucket), h); x >= score {
 				best, score = from[i], x
 			}
 		}
-		p.slots[slot] = best
+		p.buckets[bucket] = best
 	}
 }
 
-// pick returns the balancer for the caller's answers. All datagrams of a flow
-// take one path while it lives, since reordering costs a flow its speed.
+// pick returns the balancer for datagrams to the caller. All datagrams of a flow take
+// one path while it is live, since reordering reduces a flow's throughput.
 func (p *paths) pick(caller netip.AddrPort) (netip.AddrPort, bool) {
 	b := caller.Addr().As4()
 	k := uint64(b[0])<<40 | uint64(b[1])<<32 | uint64(b[2])<<24 | uint64(b[3])<<16 | uint64(caller.Port())
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a := p.slots[fleet.Mix(k, 0)%pathSlots]
+	a := p.buckets[fleet.Mix(k, 0)%pathBuckets]
 	return a, a.IsValid()
 }
