--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,5 +1,5 @@
-// Package balancer is the program on an entry VM: it carries the datagrams of
-// callers to agents and back, and remembers no flow.
+// Package balancer implements the balancer, the process on an entry VM that
+// forwards datagrams from callers to agents and back. It keeps no per-flow state.
 package balancer
 
 import (
@@ -21,7 +21,7 @@
 	"pomeloway.example/pomeloway/process"
 )
 
-// Balancer is a running balancer.
+// Balancer forwards the datagrams of all services of the bundle in force.
 type Balancer struct {
 	*process.Process
 	opts  Options
@@ -38,11 +38,13 @@
 	counters []*Counters
 	closed   bool
 	wait     sync.WaitGroup
-	// outSince has the zones that are out, and when this balancer learnt of it.
+	// outSince maps each availability zone that is out of service to the time at
+	// which this balancer learned of it.
 	outSince map[bundle.ZoneID]time.Time
 }
 
-// New prepares a balancer and opens its own sockets.
+// New returns a balancer with its link socket open. Run opens the sockets of the
+// services.
 func New(o Options, l *slog.Logger, off guard.Off) (*Balancer, error) {
 	s, err := link.Listen(o.Link)
 	if err != nil {
@@ -62,7 +64,8 @@
 	return b, nil
 }
 
-// Run serves until the context ends, then leaves gracefully.
+// Run forwards datagrams until the context ends or Kill is called. When the
+// context ends, the balancer leaves the fleet gracefully before Run returns.
 func (b *Balancer) Run(stopped context.Context) error {
 	var g run.Group
 	b.AddTo(&g)
@@ -81,11 +84,12 @@
 	return err
 }
 
-// leaveFor is how long a leaving balancer goes on forwarding, until the fabric
-// and the agents have taken it out of their choices.
+// leaveDelay is how long a leaving balancer continues to forward. It gives the
+// network fabric and the agents time to stop selecting this balancer.
 const leaveFor = 3 * time.Second
 
-// leave waits for the stop, tells everybody, and ends the group a little later.
+// leave waits for the stop context, announces the leaving phase, and returns
+// after leaveDelay, which ends the run group.
 func (b *Balancer) leave(ctx, stopped context.Context) error {
 	select {
 	case <-stopped.Done():
@@ -110,10 +114,11 @@
 	return nil
 }
 
-// Kill ends the balancer at once, as a crash would.
+// Kill stops the balancer immediately and without announcing it, like a crash.
 func (b *Balancer) Kill() { b.killed.Do(func() { close(b.kill) }) }
 
-// ended hides the error by which a closed socket ends its reader.
+// ignoreAfterCancel returns nil if the context has ended, and err otherwise. A
+// reader whose socket is closed on shutdown returns an error that is no failure.
 func ended(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
@@ -121,7 +126,7 @@
 	return err
 }
 
-// close shuts all sockets.
+// close closes the link socket and the sockets of all services.
 func (b *Balancer) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -132,7 +137,7 @@
 	}
 }
 
-// follow makes a new view of each change of the fleet.
+// updateViews builds a new view on each change of the fleet state.
 func (b *Balancer) follow(ctx context.Context) error {
 	t := time.NewTicker(reviewEvery)
 	defer t.Stop()
@@ -143,16 +148,18 @@
 		}
 		select {
 		case <-changed:
-		case <-t.C: // doubts come to count with time alone
+		case <-t.C: // whether a member is doubted also depends on the time
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// reviewEvery is how often the view is made anew without a change.
+// viewRefreshInterval is how often the view is rebuilt without a change.
 const reviewEvery = 5 * time.Second
 
+// apply stores a view built from the bundle and the fleet state. If the bundle
+// version changed, it also updates the peer identity and the service sockets.
 func (b *Balancer) apply(a *bundle.Accepted) {
 	r, err := b.Ring(a)
 	if err != nil {
@@ -177,7 +184,7 @@
 	b.SetReady(!v.zoneOut[b.opts.Zone] && !b.leaving.Load())
 }
 
-// noteZones takes over which zones are out, and logs each that changed.
+// updateZones records which zones are out of service and logs each change.
 func (b *Balancer) noteZones(x *bundle.Bundle) {
 	for _, z := range x.Zones {
 		_, was := b.outSince[z.ID]
@@ -192,9 +199,10 @@
 	}
 }
 
-// planResets sets from when on flows of the zones that are out get resets: when
-// the agents' time to close them has passed, counted from when this balancer
-// learnt of it. Callers that were told by their agent never see one.
+// scheduleResets sets the time from which the balancer answers datagrams to zones
+// that are out with stateless resets. The agents of such a zone have ZoneOutRun to
+// close their flows, counted from when this balancer learned that the zone is out;
+// a caller that received its agent's close gets no reset.
 func (b *Balancer) planResets(v *View, x *bundle.Bundle) {
 	wait := x.Timeouts.OrDefault().ZoneOutRun + resetMargin
 	for _, z := range x.Zones {
@@ -204,7 +212,7 @@
 	}
 }
 
-// listen opens and closes sockets until they are those of the bundle.
+// updatePorts opens and closes sockets to match the services of the bundle.
 func (b *Balancer) listen(x *bundle.Bundle) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -234,7 +242,8 @@
 	}
 }
 
-// open starts the forwarders of one service.
+// openPort opens the sockets of one service and starts their forwarders. It
+// returns nil if a socket can't be opened. b.mu must be held.
 func (b *Balancer) open(id bundle.ServiceID, a netip.AddrPort) *port {
 	listen := link.Listen
 	if b.opts.Forwarders > 1 {
@@ -257,19 +266,21 @@
 	return p
 }
 
+// newCounters returns counters that Counts includes in its sums.
 func (b *Balancer) newCounters() *Counters {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.countersLocked()
 }
 
+// newCountersLocked is newCounters for callers that hold b.mu.
 func (b *Balancer) countersLocked() *Counters {
 	c := &Counters{}
 	b.counters = append(b.counters, c)
 	return c
 }
 
-// Counts is the sum of a balancer's counters.
+// Counts holds the sums of a balancer's counters.
 type Counts struct {
 	Forwarded uint64 `json:"forwarded"`
 	Opened    uint64 `json:"opened"`
@@ -282,7 +293,7 @@
 	Reset     uint64 `json:"reset"`
 }
 
-// Counts returns what the balancer has done so far.
+// Counts returns the sums of the counters of all forwarders and of the returner.
 func (b *Balancer) Counts() Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balancer/forward_test.go
+++ b/balancer/forward_test.go
@@ -27,9 +27,10 @@
 	return s
 }
 
-// relay is the baseline: the same sockets and batches, and no decision. It sends
-// every datagram to one address, with the header's room before it left as it is,
-// so that both write as many bytes.
+// relay is the baseline of BenchmarkForward. It uses the same sockets and batches
+// as a forwarder but makes no decision: it sends every datagram to one address. It
+// leaves the header bytes unset but sends them, so that both write equally many
+// bytes.
 func relay(in, out *link.Socket, to netip.AddrPort, done *atomic.Uint64) error {
 	b := link.NewBatch(batchSize)
 	for {
@@ -45,7 +46,7 @@
 	}
 }
 
-// threadTime is the processor time of the calling thread.
+// threadTime returns the processor time of the calling thread.
 func threadTime() time.Duration {
 	var r unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_THREAD, &r) != nil {
@@ -54,7 +55,7 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// flood sends the datagram to the address until it is told to stop.
+// flood sends the datagram to the address until stop is set.
 func flood(tb testing.TB, to netip.AddrPort, p []byte, stop *atomic.Bool, w *sync.WaitGroup) {
 	s := socket(tb)
 	q := link.NewQueue(batchSize)
@@ -68,9 +69,9 @@
 	})
 }
 
-// saturate runs the forwarding under a flood and reports the processor time of
-// its thread for each datagram. That is the figure that a core's datagrams a
-// second follow from; the flood's own cost is not in it.
+// saturate runs a forwarder under a flood and reports the processor time of its
+// thread per datagram, and from it the datagrams per second and core. The cost of
+// the flood itself is not included.
 func saturate(b *testing.B, in *link.Socket, p []byte, run func(done *atomic.Uint64) error) {
 	var stop atomic.Bool
 	var done atomic.Uint64
@@ -126,9 +127,9 @@
 	})
 }
 
-// An entry VM has several cores, and one service takes most of the datagrams.
-// With a socket for each core the kernel must spread callers over them, and none
-// may be lost between.
+// An entry VM has several cores, and one service may receive most datagrams. With
+// several sockets on one address, the kernel must distribute callers over all of
+// them, and no datagram may be lost.
 func TestForwardersShareAnAddress(t *testing.T) {
 	const callers = 64
 	sink := socket(t)
@@ -159,13 +160,13 @@
 	for range callers {
 		sink.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if n, err := sink.Read(b); err != nil || n != link.HeaderSize+len(token) {
-			t.Fatalf("%d bytes, %v", n, err)
+			t.Fatalf("read %d bytes, err = %v", n, err)
 		}
 	}
 	first.Close()
 	second.Close()
 	w.Wait()
 	if counts[0].Forwarded.Load() == 0 || counts[1].Forwarded.Load() == 0 {
-		t.Errorf("forwarded %d and %d", counts[0].Forwarded.Load(), counts[1].Forwarded.Load())
+		t.Errorf("forwarded %d and %d datagrams, want both above 0", counts[0].Forwarded.Load(), counts[1].Forwarded.Load())
 	}
 }
--- a/balancer/forwarder.go
+++ b/balancer/forwarder.go
@@ -11,19 +11,19 @@
 	"pomeloway.example/pomeloway/quiclb"
 )
 
-// batchSize is how many datagrams one system call carries. Larger ones gain
-// little and cost 1.5 kB each on every service's socket.
+// batchSize is the number of datagrams per system call. Larger batches gain
+// little, and each extra datagram costs 1.5 kB of buffer per service socket.
 const batchSize = 16
 
-// Counters are what one forwarder or returner has done. Each has its own, so
-// counting shares no cache line.
+// Counters counts the datagrams that one forwarder or returner handled, by
+// result. Each has its own Counters, padded so that no two share a cache line.
 type Counters struct {
 	Forwarded, Opened, Returned, Dropped, Refused, Lost, Misrouted, ZoneOut, Reset atomic.Uint64
 	_                                                                              [64]byte
 }
 
-// port is the balancer's sockets on the address of one service, one for each
-// forwarder; answers go out by the first.
+// port holds the sockets on the address of one service, one for each forwarder.
+// The returner sends to callers through the first socket.
 type port struct {
 	id      bundle.ServiceID
 	local   netip.AddrPort
@@ -36,7 +36,7 @@
 	}
 }
 
-// forwarder carries callers' datagrams of one service to agents.
+// forwarder sends callers' datagrams of one service to agents.
 type forwarder struct {
 	id    bundle.ServiceID
 	zone  bundle.ZoneID
@@ -48,7 +48,7 @@
 	reset resetter
 }
 
-// run forwards until the service's socket is closed.
+// run forwards datagrams until the service's socket is closed.
 func (f *forwarder) run() error {
 	b := link.NewBatch(batchSize)
 	var o quiclb.Opener
@@ -65,6 +65,8 @@
 	}
 }
 
+// forwardDatagram decides on the i-th datagram of the batch and queues it for an
+// agent, drops it, or answers it with a stateless reset.
 func (f *forwarder) one(v *View, b *link.Batch, i int, o *quiclb.Opener, now uint32) {
 	var a Action
 	from := b.From(i)
@@ -82,7 +84,8 @@
 	b.SendWithHeader(i, a.Target())
 }
 
-// tell ends the caller's flow if its zone's agents have closed theirs by now.
+// sendReset sends the caller a stateless reset if the datagram was dropped because
+// its zone is out and the zone's agents have had time to close their flows.
 func (f *forwarder) tell(v *View, a *Action, p []byte, from netip.AddrPort, now uint32) {
 	t := v.resetFrom[a.Zone]
 	if a.Reason != events.ReasonZoneOut || t == 0 || now < t {
@@ -94,7 +97,8 @@
 	}
 }
 
-// record counts the decision, and logs it unless it was a token's look-up.
+// recordDecision counts the decision. It logs all decisions but forwarding by
+// token and dropping overlong datagrams.
 func (f *forwarder) record(a *Action, from netip.AddrPort) {
 	d := events.Decision{Reason: a.Reason, Service: f.id, Zone: a.Zone, Caller: from, Target: a.Target(), Flow: a.Flow}
 	switch a.Verdict {
@@ -109,7 +113,7 @@
 		d.ID = events.FlowDropped
 		switch a.Reason {
 		case events.ReasonTooLong:
-			return // a caller probes how long datagrams may be: no decision
+			return // a caller's path MTU probe, not worth a log line
 		case events.ReasonNoCandidate:
 			d.ID = events.FlowNoUpstream
 		case events.ReasonService:
--- a/balancer/observer.go
+++ b/balancer/observer.go
@@ -1,9 +1,13 @@
-// This file watches over the lives of the members that rendezvous hashing gives
-// to this balancer: it sends each a heartbeat every half second and forms an
-// opinion from the answers. Three observers a member make the cost of a balancer
-// independent of the fleet's size: three times the members over the balancers.
-// Opinions spread with the view of the fleet. Given up: a verdict within a
-// second; openings to a member that just died are repeated by the caller.
+// This file implements failure detection. Rendezvous hashing assigns each member
+// of the fleet to three observing balancers. An observer sends the member a
+// heartbeat every 500 ms and derives an opinion from the acknowledgements: the
+// member is doubted (considered failed) or not. Opinions are distributed with the
+// fleet state.
+//
+// With three observers per member, a balancer observes three times the members
+// divided by the balancers, so its load does not depend on the size of the fleet.
+// The trade-off is that detection takes more than a second: until then, callers
+// have to repeat openings that were sent to a failed member.
 
 package balancer
 
@@ -22,31 +26,38 @@
 )
 
 const (
-	// heartbeatEvery is half the second in which a return path must move.
+	// heartbeatInterval is half of the one second within which the return path of
+	// a flow must move to another balancer.
 	heartbeatEvery = 500 * time.Millisecond
-	// silentAfter is four heartbeats: random loss of one in ten doubts a live
-	// member once in ten thousand heartbeats, and wrongly doubting costs little.
+	// ackTimeout is four heartbeat intervals. At 10% random loss, a live member
+	// is then doubted once in 10,000 heartbeats, which is acceptable because a
+	// wrong doubt costs little.
 	silentAfter = 4 * heartbeatEvery
-	// pausedAfter is a gap between heartbeats that shows this process itself
-	// stood still.
+	// pauseThreshold is the gap between two ticks above which this process itself
+	// is assumed to have been paused.
 	pausedAfter = 3 * heartbeatEvery
-	ackRing     = 4096
+	// ackQueueSize is the capacity of the channel from the returner to the
+	// observer. Acknowledgements beyond it are dropped.
+	ackRing = 4096
 )
 
+// ack is a heartbeat acknowledgement that the returner received.
 type ack struct {
 	from netip.AddrPort
 	life uint64
 	load uint16
 }
 
+// subject is a member that this balancer observes.
 type subject struct {
 	member  fleet.Member
 	heard   time.Time
 	doubted bool
-	// told is when the opinion was last made known.
+	// publishedAt is when the opinion was last merged into the fleet state.
 	told time.Time
 }
 
+// observer sends heartbeats to its subjects and publishes opinions on them.
 type observer struct {
 	node *peer.Node
 	link *link.Socket
@@ -78,7 +89,7 @@
 	}
 }
 
-// assign finds the members that this balancer observes.
+// updateSubjects determines which members this balancer observes.
 func (o *observer) assign(now time.Time) {
 	ms, _ := o.node.State.Snapshot()
 	doubts := o.node.State.Doubted()
@@ -100,8 +111,8 @@
 	o.withdraw(old, now)
 }
 
-// withdraw takes back the doubts of members that others observe from now on:
-// nobody would ever clear them.
+// withdrawDoubts clears this balancer's doubts about members that it no longer
+// observes. No other observer can clear them.
 func (o *observer) withdraw(old map[netip.AddrPort]*subject, now time.Time) {
 	for a, s := range old {
 		if s.doubted && o.subjects[a] == nil {
@@ -110,6 +121,7 @@
 	}
 }
 
+// isObserver reports whether the balancer self is an observer of the member m.
 func observes(self fleet.MemberID, m *fleet.Member, ms []fleet.Member, doubts map[fleet.MemberID]bool) bool {
 	for _, b := range fleet.Observers(m.ID, ms, doubts, m.Zone) {
 		if b.ID == self {
@@ -119,6 +131,8 @@
 	return false
 }
 
+// handleAck records an acknowledgement and clears a doubt. It ignores one of an
+// earlier incarnation of the member.
 func (o *observer) heard(a ack, now time.Time) {
 	s := o.subjects[a.from]
 	if s == nil || uint64(s.member.Incarnation) != a.life {
@@ -130,9 +144,11 @@
 	}
 }
 
+// tick sends a heartbeat to each subject and doubts those whose last
+// acknowledgement is older than ackTimeout.
 func (o *observer) tick(now time.Time) {
-	// After a pause of this process every member seems silent at once. It shows
-	// as a gap between ticks; the answers' clocks then start anew.
+	// After a pause of this process, such as a VM migration, every member appears
+	// silent. The pause shows as a gap between ticks; ackTimeout then starts anew.
 	paused := !o.last.IsZero() && now.Sub(o.last) > pausedAfter
 	o.last = now
 	v := o.view.Load()
@@ -151,7 +167,7 @@
 	}
 }
 
-// form makes an opinion known.
+// publishOpinion merges the opinion into the fleet state and logs it if it changed.
 func (o *observer) form(s *subject, doubted bool, now time.Time) {
 	if s.doubted != doubted {
 		o.logOpinion(s, doubted, now)
--- a/balancer/observer_test.go
+++ b/balancer/observer_test.go
@@ -26,7 +26,8 @@
 	return &observer{node: n, link: socket(t), view: &v, log: log}
 }
 
-// play ticks the observer from one time to another.
+// runTicks calls tick at each heartbeat interval of the duration and returns the
+// time of the next tick.
 func (o *observer) play(from time.Time, d time.Duration) time.Time {
 	for end := from.Add(d); from.Before(end); from = from.Add(heartbeatEvery) {
 		o.tick(from)
@@ -34,9 +35,9 @@
 	return from
 }
 
-// A balancer's VM stands still for a minute, as they do when they are moved. When
-// it wakes every member seems silent for a minute; if it said so, and another one
-// had been moved as well, all agents would be held for dead at once.
+// A balancer's VM is paused for a minute, as in a live migration. Afterwards every
+// member appears to have been silent for a minute. If two balancers doubted all
+// members after such pauses, the fleet would consider every agent failed at once.
 func TestObserverThatStoodStillDoubtsNobody(t *testing.T) {
 	m := agentAt(1, 1, 1)
 	m.Incarnation = 5
@@ -45,9 +46,9 @@
 		pause, silent time.Duration
 		doubted       bool
 	}{
-		"the member is silent":        {0, 4 * time.Second, true},
-		"the observer stood still":    {time.Minute, time.Second, false},
-		"both, the member for longer": {time.Minute, 4 * time.Second, true},
+		"member silent":                       {0, 4 * time.Second, true},
+		"observer paused":                     {time.Minute, time.Second, false},
+		"observer paused, then member silent": {time.Minute, 4 * time.Second, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := testObserver(t, m)
@@ -56,22 +57,22 @@
 			o.heard(ack{from: m.Link, life: 5}, now)
 			now = o.play(now.Add(x.pause), x.silent)
 			if s := o.subjects[m.Link]; s == nil || s.doubted != x.doubted {
-				t.Errorf("subject %+v", s)
+				t.Errorf("subject has the wrong doubt or is missing: %+v", s)
 			}
 			o.heard(ack{from: m.Link, life: 4}, now)
 			if x.doubted != o.subjects[m.Link].doubted {
-				t.Error("an answer of an earlier life cleared the doubt")
+				t.Error("an acknowledgement of an earlier incarnation changed the doubt")
 			}
 			o.heard(ack{from: m.Link, life: 5}, now)
 			if o.subjects[m.Link].doubted {
-				t.Error("an answer did not clear the doubt")
+				t.Error("an acknowledgement did not clear the doubt")
 			}
 		})
 	}
 }
 
-// A member moves to other observers while this one doubts it. Nobody else can
-// take this one's word back, so it must do so itself.
+// An observer stops observing a member that it doubts. Only the observer itself
+// can withdraw its opinion; otherwise the doubt would remain.
 func TestDoubtIsWithdrawnWithTheDuty(t *testing.T) {
 	m := agentAt(1, 1, 1)
 	m.Incarnation = 5
@@ -84,6 +85,6 @@
 	o.assign(now)
 	_, os := o.node.State.Snapshot()
 	if len(os) != 1 || os[0].Doubted {
-		t.Errorf("opinions %+v", os)
+		t.Errorf("opinions %+v, want one that does not doubt", os)
 	}
 }
--- a/balancer/options.go
+++ b/balancer/options.go
@@ -7,20 +7,21 @@
 	"pomeloway.example/pomeloway/settings"
 )
 
-// Options are the settings of a balancer.
+// Options holds the settings of a balancer.
 type Options struct {
 	process.Options `embed:""`
-	// Bind takes the place of the service addresses' IP where several
-	// balancers share a host, as in a trial on loopback.
-	Bind netip.Addr `help:"Listen for callers on this IP instead of the services' own." env:"POMELOWAY_BIND" placeholder:"IP" group:"Addresses"`
-	// Forwarders is how many sockets share each service's address.
-	Forwarders int `help:"Sockets and threads for each service's address." default:"1" env:"POMELOWAY_FORWARDERS" group:"Work"`
+	// Bind replaces the IP of the services' addresses. It lets several balancers
+	// share a host, as in a test on loopback.
+	Bind netip.Addr `help:"Listen for callers on this IP instead of the IPs of the services." env:"POMELOWAY_BIND" placeholder:"IP" group:"Addresses"`
+	// Forwarders is the number of sockets, each with its own thread, that share
+	// the address of a service.
+	Forwarders int `help:"Number of sockets, each with its own thread, per service address." default:"1" env:"POMELOWAY_FORWARDERS" group:"Work"`
 }
 
-// maxForwarders is far above the cores of an entry VM.
+// maxForwarders is well above the number of cores of an entry VM.
 const maxForwarders = 64
 
-// Validate returns all that is wrong with the settings.
+// Validate returns an error that lists all invalid settings.
 func (o *Options) Validate() error {
 	var f settings.Faults
 	f.Join(o.Options.Validate())
--- a/balancer/reset.go
+++ b/balancer/reset.go
@@ -1,9 +1,12 @@
-// This file tells callers that their flow has ended when nobody else can: its
-// availability zone is out, its agent has closed it, and the closing was lost.
-// A stateless reset (RFC 9000, 10.3) needs no memory of the flow: its token is a
-// keyed hash of the connection ID, and all agents and balancers hold the key.
-// Given up: telling the callers of an upstream that died without a word, since a
-// balancer's doubt is no proof; they find out by their idle timeout.
+// This file sends stateless resets (RFC 9000, section 10.3). A reset ends a
+// caller's flow after its availability zone was taken out of service, its agent
+// closed the flow, and the agent's close was lost. It needs no per-flow state: the
+// reset token is a keyed hash of the connection ID, and all agents and balancers
+// have the key.
+//
+// Callers of an upstream that failed without closing its flows get no reset,
+// because a balancer's doubt does not prove the failure. Their idle timeout ends
+// these flows.
 
 package balancer
 
@@ -21,21 +24,23 @@
 )
 
 const (
-	// resetToken is the length of a reset's token, at its end, and resetLeast
-	// that of the shortest reset, in bytes (RFC 9000, 10.3).
+	// resetTokenLen is the length of the token at the end of a reset, and
+	// minResetLen that of the shortest reset, in bytes (RFC 9000, section 10.3).
 	resetToken = 16
 	resetLeast = 21
-	// resetLength looks like a short packet of an established flow.
+	// maxResetLen makes a reset look like a short packet of an established flow.
 	resetLength = 43
-	// resetsMost bounds the resets of one forwarder in a second.
+	// maxResetsPerSecond limits the resets of one forwarder.
 	resetsMost = 2000
-	// resetMargin lets a closing that is on its way arrive first.
+	// resetMargin gives the agent's close time to arrive before a reset is sent.
 	resetMargin = time.Second
-	// shortMask and shortForm mark a packet of an established flow.
+	// shortMask and shortForm set the header form and fixed bit of a QUIC packet
+	// with a short header, as packets of established flows have.
 	shortMask, shortForm = 0x3f, 0x40
 )
 
-// resetKeys make the tokens of stateless resets.
+// resetKeys holds the HMAC keys of stateless reset tokens, one for each fleet
+// secret.
 type resetKeys [][]byte
 
 func newResetKeys(r keyring.Ring) resetKeys {
@@ -46,7 +51,7 @@
 	return ks
 }
 
-// resetter sends one forwarder's stateless resets.
+// resetter sends the stateless resets of one forwarder.
 type resetter struct {
 	second uint32
 	sent   int
@@ -55,13 +60,13 @@
 	buffer [resetLength]byte
 }
 
-// reset ends the caller's flow, as far as the datagram is of an established one.
-// It reports whether it did.
+// reset answers the datagram p with stateless resets if it is a packet of an
+// established flow and the rate limit permits. It reports whether it sent any.
 //
-// A reset is shorter than the datagram that it answers, so two ends that both
-// answer so can't go on for ever, and nobody gains by a forged address. An agent
-// keeps the reset key that it started with, so during a rotation there is a reset
-// for each key.
+// A reset is shorter than the datagram that it answers. This prevents endless
+// loops between two endpoints that both send resets, and amplification towards a
+// forged source address. An agent keeps the reset key that it started with, so
+// reset sends one reset for each key during a key rotation.
 func (x *resetter) reset(ks resetKeys, p []byte, to netip.AddrPort, out *link.Socket, now uint32) bool {
 	class, cid := quiclb.Classify(p)
 	n := min(resetLength, len(p)-1)
@@ -82,7 +87,7 @@
 	return true
 }
 
-// use makes the hashes of the keys, unless it has them.
+// setKeys creates the HMACs of the keys unless they exist already.
 func (x *resetter) use(ks resetKeys) {
 	if len(x.keys) == len(ks) && (len(ks) == 0 || &x.keys[0] == &ks[0]) {
 		return
@@ -93,7 +98,7 @@
 	}
 }
 
-// spend takes one of the second's resets.
+// allow consumes one of this second's resets and reports whether one was left.
 func (x *resetter) spend(now uint32) bool {
 	if now != x.second {
 		x.second, x.sent = now, 0
--- a/balancer/reset_test.go
+++ b/balancer/reset_test.go
@@ -8,8 +8,9 @@
 	"pomeloway.example/pomeloway/quiclb"
 )
 
-// A reset must not be sent for what is no packet of an established flow, must be
-// shorter than what it answers, and must not flood whoever's address was forged.
+// A reset may only answer a packet of an established flow. It must be shorter than
+// that packet and limited in rate, so that forged source addresses can't be used
+// to flood a third party.
 func TestResetAnswersOnlyEstablishedFlows(t *testing.T) {
 	route := quiclb.Route{Service: 1, Zone: 3, Agent: loopback}
 	cid := quiclb.NewKey(secret).Seal(route, 1)
@@ -20,20 +21,21 @@
 		sent int
 		want int
 	}{
-		"a packet of a flow":           {tail(40), keyring.Ring{secret}, 0, 1},
-		"during a rotation of keys":    {tail(40), keyring.Ring{secret, keyring.NewSecret(2)}, 0, 2},
-		"the shortest to be answered":  {tail(resetLeast - quiclb.Size), keyring.Ring{secret}, 0, 1},
-		"too short to be answered":     {tail(resetLeast - quiclb.Size - 1), keyring.Ring{secret}, 0, 0},
-		"an opening":                   {initial(7), keyring.Ring{secret}, 0, 0},
-		"nothing":                      {nil, keyring.Ring{secret}, 0, 0},
-		"a balancer that has no keys":  {tail(40), nil, 0, 0},
-		"a packet beyond the second's": {tail(40), keyring.Ring{secret}, resetsMost, 0},
+		"packet of an established flow": {tail(40), keyring.Ring{secret}, 0, 1},
+		"key rotation":                  {tail(40), keyring.Ring{secret, keyring.NewSecret(2)}, 0, 2},
+		"shortest answered packet":      {tail(resetLeast - quiclb.Size), keyring.Ring{secret}, 0, 1},
+		"packet too short":              {tail(resetLeast - quiclb.Size - 1), keyring.Ring{secret}, 0, 0},
+		"opening":                       {initial(7), keyring.Ring{secret}, 0, 0},
+		"empty datagram":                {nil, keyring.Ring{secret}, 0, 0},
+		"no keys":                       {tail(40), nil, 0, 0},
+		"rate limit reached":            {tail(40), keyring.Ring{secret}, resetsMost, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out, caller := socket(t), socket(t)
 			r := resetter{second: 9, sent: x.sent}
 			r.reset(newResetKeys(x.keys), x.p, caller.Addr(), out, 9)
-			// Loopback delivers before the write returns: what isn't there now never comes.
+			// Loopback delivers a datagram before the write returns, so a short
+			// deadline finds all resets.
 			caller.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 			b, got := make([]byte, 100), 0
 			for {
@@ -43,11 +45,11 @@
 				}
 				got++
 				if n >= len(x.p) || !quiclb.IsShort(b) {
-					t.Errorf("a reset of %d bytes, first %#x, answers a datagram of %d", n, b[0], len(x.p))
+					t.Errorf("reset of %d bytes with first byte %#x for a datagram of %d bytes", n, b[0], len(x.p))
 				}
 			}
 			if got != x.want {
-				t.Errorf("%d resets, want %d", got, x.want)
+				t.Errorf("got %d resets, want %d", got, x.want)
 			}
 		})
 	}
--- a/balancer/returner.go
+++ b/balancer/returner.go
@@ -8,8 +8,8 @@
 	"pomeloway.example/pomeloway/link"
 )
 
-// returner carries agents' datagrams to callers, answers other observers'
-// heartbeats and hands the answers to its own to the observer.
+// returner reads the link socket. It sends agents' datagrams to callers,
+// acknowledges heartbeats, and passes heartbeat acknowledgements to the observer.
 type returner struct {
 	link  *link.Socket
 	view  *atomic.Pointer[View]
@@ -18,15 +18,17 @@
 	acks  chan<- ack
 	count *Counters
 
-	// out has a queue for each port; touched are those of the present batch.
+	// out holds a send queue for each port. touched lists the ports whose queues
+	// the current batch added to.
 	out     map[*port]*link.Queue
 	touched []*port
 	reply   [link.HeaderSize]byte
 }
 
+// portMap holds the open ports by service.
 type portMap map[bundle.ServiceID]*port
 
-// run returns datagrams until the link's socket is closed.
+// run handles messages until the link socket is closed.
 func (r *returner) run() error {
 	b := link.NewBatch(batchSize)
 	r.out = map[*port]*link.Queue{}
@@ -41,11 +43,12 @@
 		}
 		r.flush()
 		if len(r.out) > 2*len(ports) {
-			clear(r.out) // sockets of services that are gone
+			clear(r.out) // drops the queues of ports that were closed
 		}
 	}
 }
 
+// flush sends the queued datagrams of the current batch.
 func (r *returner) flush() {
 	for _, p := range r.touched {
 		r.count.Lost.Add(uint64(r.out[p].Flush(p.sockets[0].Batched)))
@@ -53,6 +56,7 @@
 	r.touched = r.touched[:0]
 }
 
+// handleMessage authenticates and handles one message from the link socket.
 func (r *returner) one(v *View, ports portMap, p []byte, from netip.AddrPort) {
 	var m link.Message
 	payload, ok := v.links.Get(p, &m)
@@ -70,11 +74,12 @@
 	case link.KindHeartbeatAck:
 		select {
 		case r.acks <- ack{from: from, life: m.Number, load: m.Load}:
-		default: // the next heartbeat asks again
+		default: // dropped; the next heartbeat brings another acknowledgement
 		}
 	}
 }
 
+// deliver queues the payload on the port for the caller.
 func (r *returner) deliver(p *port, payload []byte, to netip.AddrPort) {
 	if p == nil || !to.Addr().Is4() || len(payload) == 0 {
 		r.count.Dropped.Add(1)
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -1,9 +1,10 @@
 // This file decides where each datagram goes. A decision is a pure function of
-// the datagram, the address it came in on and an immutable View; it takes no
-// lock and allocates nothing. An established flow costs one AES block, whatever
-// the number of flows and upstreams; an opening costs one multiplication chain
-// for each upstream of its service. Given up: any memory of flows, and with it
-// every choice that would need one.
+// the datagram, the service address that received it and an immutable View; it
+// takes no lock and allocates nothing. A datagram of an established flow costs one
+// AES block, independent of the number of flows and upstreams. An opening costs
+// one short chain of multiplications (fleet.Mix) for each upstream of its service.
+// As balancers keep no per-flow state, no decision can depend on earlier datagrams
+// of the flow.
 
 package balancer
 
@@ -19,38 +20,43 @@
 	"pomeloway.example/pomeloway/quiclb"
 )
 
-// candidates is how many agents an opening may try.
+// maxCandidates is the number of agents that an opening may try.
 const candidates = 3
 
-// View is everything that decisions depend on. It never changes; a new one
-// takes its place.
+// View holds everything that decisions depend on. It is immutable and replaced as
+// a whole.
 type View struct {
 	Version bundle.Version
 	tokens  quiclb.Keys
 	links   link.Keys
-	// services are indexed by id, since a look-up by hash took a quarter of an
-	// opening's time in a large fleet.
+	// services is indexed by service ID. With a map, the lookup took a quarter of
+	// the time of an opening in a large fleet.
 	services []*service
 	zoneOut  [256]bool
-	// resetFrom is when, in Unix seconds, the agents of a zone that is out have
-	// closed their flows, so that what callers still send is answered by a reset.
-	// Zero means never.
+	// resetFrom is the time, in Unix seconds, by which the agents of a zone that
+	// is out have closed their flows. From then on, datagrams to that zone are
+	// answered with a stateless reset. Zero means never.
 	resetFrom [256]uint32
 	resets    resetKeys
 	off       guard.Off
 }
 
+// service holds the agents that openings of one service may go to.
 type service struct {
-	// usable come first for openings, doubted only when those are too few.
+	// usable agents are tried first. doubted agents, which observers consider
+	// failed, follow only if there are fewer than maxCandidates usable ones.
 	usable, doubted []candidate
 }
 
+// candidate is an agent with the hash of its member ID for rendezvous hashing.
 type candidate struct {
 	hash uint64
 	addr netip.AddrPort
 }
 
-// NewView returns the view of a bundle, the fleet's members and doubts.
+// NewView returns the view of a bundle, its secrets, and the fleet's members, of
+// which doubts names those that are considered failed. Zones that the bundle does
+// not define count as out of service.
 func NewView(a *bundle.Accepted, r keyring.Ring, ms []fleet.Member, doubts map[fleet.MemberID]bool) *View {
 	v := &View{
 		Version: a.Version,
@@ -77,7 +83,7 @@
 	return v
 }
 
-// service returns the service with the id, or nil.
+// service returns the service with the ID, or nil if there is none.
 func (v *View) service(id bundle.ServiceID) *service {
 	if int(id) >= len(v.services) {
 		return nil
@@ -85,6 +91,7 @@
 	return v.services[id]
 }
 
+// addMember adds the member to its service if it is an agent that takes openings.
 func (v *View) add(m *fleet.Member, doubted bool) {
 	s := v.service(m.Service)
 	if s == nil || m.Role != fleet.RoleAgent || m.Phase != fleet.PhaseReady || v.zoneOut[m.Zone] {
@@ -98,17 +105,21 @@
 	}
 }
 
-// Verdict is what becomes of a datagram.
+// Verdict says how a datagram is handled.
 type Verdict uint8
 
 // Verdicts.
 const (
+	// VerdictDrop discards the datagram.
 	VerdictDrop Verdict = iota
+	// VerdictForward sends a datagram of an established flow to its agent.
 	VerdictForward
+	// VerdictOpen sends an opening to the first of its candidates.
 	VerdictOpen
 )
 
-// Action is the decision on one datagram.
+// Action is the decision on one datagram. Count is the number of Candidates, and
+// Flow the hash of the connection ID of an opening.
 type Action struct {
 	Verdict    Verdict
 	Reason     events.Reason
@@ -118,11 +129,11 @@
 	Flow       uint64
 }
 
-// Target returns the agent that the datagram goes to first.
+// Target returns the link address of the agent that the datagram is sent to.
 func (a *Action) Target() netip.AddrPort { return a.Candidates[0] }
 
-// Decide fills a with the decision on datagram p, which came in on the address
-// of the service.
+// Decide sets a to the decision on the datagram p, which was received on the
+// address of the service id.
 func (v *View) Decide(id bundle.ServiceID, p []byte, o *quiclb.Opener, a *Action) {
 	*a = Action{}
 	if len(p) > link.MaxPayload {
@@ -145,12 +156,13 @@
 	v.open(id, cid, a)
 }
 
-// established forwards by the route in the token.
+// decideEstablished forwards a datagram by the route in its token.
 //
-// A token of another service would let a caller carry a letter's flow into scan
-// intake; it shows as a route whose service is not that of the address, and is
-// dropped, since no honest caller can come by it. A zone that operators have
-// taken out must get nothing more, whoever still holds flows there.
+// It drops a datagram whose route names another service than that of the address
+// that received it. Otherwise a caller could use a token of one service to reach
+// the agents of another; a well-behaved caller never sends such a datagram. It
+// also drops datagrams to a zone that operators have taken out of service, which
+// must receive no traffic even for flows that are still open there.
 func (v *View) established(id bundle.ServiceID, r quiclb.Route, a *Action) {
 	a.Zone = r.Zone
 	if r.Service != id && !v.off.Has(guard.Service) {
@@ -165,9 +177,9 @@
 	a.Candidates[0] = r.Agent
 }
 
-// open ranks the agents of the service for the opening. The key is the caller's
-// first connection ID, which all datagrams of one opening share, so whichever
-// balancers they reach rank alike as far as their views agree.
+// decideOpening ranks the agents of the service for an opening by rendezvous
+// hashing. The key is the caller's initial connection ID, which all datagrams of
+// one opening share. Balancers with equal views therefore rank the agents equally.
 func (v *View) open(id bundle.ServiceID, cid []byte, a *Action) {
 	s := v.service(id)
 	a.Flow = fleet.HashOf(cid)
@@ -186,7 +198,7 @@
 	a.Verdict, a.Reason = VerdictOpen, events.ReasonFirst
 }
 
-// take appends the best of cs by rank until there are enough candidates.
+// addBest appends the highest-ranked agents of cs until a has maxCandidates.
 func (a *Action) take(cs []candidate) {
 	var score [candidates]uint64
 	first, n := int(a.Count), 0
--- a/balancer/view_test.go
+++ b/balancer/view_test.go
@@ -22,8 +22,8 @@
 	return fleet.Member{ID: fleet.NewID(fleet.RoleAgent, a), Role: fleet.RoleAgent, Service: s, Zone: z, Link: a, Peer: a, Phase: fleet.PhaseReady}
 }
 
-// newTestView returns a view of services with as many agents each, spread over
-// three zones of which the last is out.
+// newTestView returns a view of the given number of services and agents per
+// service. The agents are spread over three zones, of which the third is out.
 func newTestView(services, each int, doubts map[fleet.MemberID]bool) (*View, []fleet.Member) {
 	b := &bundle.Bundle{Zones: []bundle.Zone{{ID: 1, State: bundle.ZoneStateIn}, {ID: 2, State: bundle.ZoneStateIn}, {ID: 3, State: bundle.ZoneStateOut}}}
 	var ms []fleet.Member
@@ -36,11 +36,13 @@
 	return NewView(&bundle.Accepted{Bundle: b}, keyring.Ring{secret}, ms, doubts), ms
 }
 
+// initial returns a QUIC Initial packet with the connection ID.
 func initial(id uint64) []byte {
 	p := append([]byte{0xc0, 0, 0, 0, 1, 8}, binary.BigEndian.AppendUint64(nil, id)...)
 	return append(p, make([]byte, 1186)...)
 }
 
+// short returns a packet with a QUIC short header and the token as connection ID.
 func short(token [quiclb.Size]byte) []byte {
 	return append(append([]byte{0x40}, token[:]...), make([]byte, 1000)...)
 }
@@ -71,7 +73,7 @@
 			var a Action
 			v.Decide(1, x.p, &quiclb.Opener{}, &a)
 			if a.Verdict != x.want || a.Reason != x.reason {
-				t.Errorf("verdict %d, reason %q", a.Verdict, a.Reason)
+				t.Errorf("wrong verdict %d or reason %q", a.Verdict, a.Reason)
 			}
 			if a.Verdict == VerdictForward && a.Target() != ms[0].Link {
 				t.Errorf("target %v", a.Target())
@@ -80,9 +82,8 @@
 	}
 }
 
-// A million datagrams are sprayed on both services' addresses: openings, tokens
-// of both, and tokens of agents whose address once belonged to the other
-// service. None may go to an agent of the other service.
+// Both service addresses receive a million datagrams: openings, and tokens of both
+// services. No datagram may be sent to an agent of the other service.
 func TestNoneOfAMillionIsMisrouted(t *testing.T) {
 	v, ms := newTestView(2, 6, nil)
 	owner := map[netip.AddrPort]bundle.ServiceID{}
@@ -104,18 +105,18 @@
 		for _, c := range a.Candidates[:a.Count] {
 			forwarded++
 			if owner[c] != at {
-				t.Fatalf("datagram %d of service %d goes to %v of service %d", i, at, c, owner[c])
+				t.Fatalf("datagram %d to service %d was sent to agent %v of service %d", i, at, c, owner[c])
 			}
 		}
 	}
 	if forwarded == 0 {
-		t.Error("nothing was forwarded")
+		t.Error("no datagram was forwarded")
 	}
 }
 
-// The view lags: it holds an agent as dead that lives. If its flows were dropped
-// or its openings refused for it, a wrong verdict would cost flows; it may only
-// come after the others.
+// The view doubts an agent that is alive, for example because it lags. The agent
+// must keep its flows and remain a candidate after all others, so that a wrong
+// doubt costs no flow.
 func TestDoubtCostsNoFlow(t *testing.T) {
 	_, ms := newTestView(1, 3, nil)
 	doubts := map[fleet.MemberID]bool{ms[0].ID: true}
@@ -125,17 +126,17 @@
 	for i := range uint64(1000) {
 		v.Decide(1, initial(i), &o, &a)
 		if a.Verdict != VerdictOpen || a.Target() == ms[0].Link || a.Candidates[a.Count-1] != ms[0].Link {
-			t.Fatalf("candidates %v", a.Candidates[:a.Count])
+			t.Fatalf("doubted agent is not the last candidate: %v", a.Candidates[:a.Count])
 		}
 	}
 	s := quiclb.NewKey(secret).Seal(quiclb.Route{Service: 1, Zone: 1, Agent: ms[0].Link}, 1)
 	if v.Decide(1, short(s), &o, &a); a.Verdict != VerdictForward {
-		t.Error("a flow of the doubted agent was dropped")
+		t.Error("a datagram of an established flow to a doubted agent was dropped")
 	}
 	all := map[fleet.MemberID]bool{ms[0].ID: true, ms[1].ID: true, ms[2].ID: true}
 	w, _ := newTestView(1, 3, all)
 	if w.Decide(1, initial(1), &o, &a); a.Verdict != VerdictOpen {
-		t.Error("everybody is doubted, and nobody is tried")
+		t.Error("an opening was dropped because all agents are doubted")
 	}
 }
 
@@ -146,13 +147,13 @@
 	var a Action
 	for name, p := range map[string][]byte{"token": short(s), "opening": initial(7)} {
 		if n := testing.AllocsPerRun(1000, func() { v.Decide(1, p, &o, &a) }); n > 0 {
-			t.Errorf("%s: %v allocations", name, n)
+			t.Errorf("%s: %v allocations, want 0", name, n)
 		}
 	}
 }
 
-// With a guard off the failure that it is for must show; else its test proves
-// nothing.
+// With a guard disabled, the failure that it prevents must occur. Otherwise a test
+// that passes with the guard enabled proves nothing.
 func TestGuardsOffShow(t *testing.T) {
 	v, ms := newTestView(2, 3, nil)
 	k := quiclb.NewKey(secret)
@@ -171,7 +172,7 @@
 				w.off = off
 				w.Decide(1, p, &quiclb.Opener{}, &a)
 				if (a.Verdict == VerdictForward) != off.Has(x.off) {
-					t.Errorf("guard off %t: verdict %d", off.Has(x.off), a.Verdict)
+					t.Errorf("guard disabled = %t: verdict %d", off.Has(x.off), a.Verdict)
 				}
 			}
 		})
