--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	b := &Balancer{Process: p, off: off, opts: o, link: s, outSince: map[bundle.ZoneID]time.Time{}, kill: make(chan struct{})}
-	b.view.Store(&View{links: link.NewKeys(p.Keys())})
+	b.view.Store(&View{linkKeys: link.NewKeys(p.Keys())})
 	b.ports.Store(&portMap{})
 	p.SetState(func() any { return b.Counts() })
 	return b, nil
@@ -71,12 +71,12 @@
 	b.AddTo(&g)
 	ctx, stop := context.WithCancel(context.Background())
 	g.Add(func() error { return b.leave(ctx, stopped) }, func(error) { stop() })
-	acks := make(chan ack, ackRing)
+	acks := make(chan ack, ackQueueSize)
 	o := &observer{node: b.Node, link: b.link, view: &b.view, log: b.Log, acks: acks}
-	r := &returner{link: b.link, view: &b.view, ports: &b.ports, life: uint64(b.Node.Self().Incarnation), acks: acks, count: b.newCounters()}
-	g.Add(func() error { return b.follow(ctx) }, func(error) { stop() })
+	r := &returner{link: b.link, view: &b.view, ports: &b.ports, incarnation: uint64(b.Node.Self().Incarnation), acks: acks, count: b.newCounters()}
+	g.Add(func() error { return b.updateViews(ctx) }, func(error) { stop() })
 	g.Add(func() error { return o.run(ctx) }, func(error) { stop() })
-	g.Add(func() error { return ended(ctx, r.run()) }, func(error) { b.close() })
+	g.Add(func() error { return ignoreAfterCancel(ctx, r.run()) }, func(error) { b.close() })
 	b.Log.Add(events.Started, slog.String("program", "balancer"), slog.String("link", b.link.Addr().String()))
 	err := g.Run()
 	b.wait.Wait()
@@ -86,7 +86,7 @@
 
 // leaveDelay is how long a leaving balancer continues to forward. It gives the
 // network fabric and the agents time to stop selecting this balancer.
-const leaveFor = 3 * time.Second
+const leaveDelay = 3 * time.Second
 
 // leave waits for the stop context, announces the leaving phase, and returns
 // after leaveDelay, which ends the run group.
@@ -102,7 +102,7 @@
 	b.leaving.Store(true)
 	b.SetReady(false)
 	b.Node.SetPhase(fleet.PhaseLeaving)
-	t := time.NewTimer(leaveFor)
+	t := time.NewTimer(leaveDelay)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -119,7 +119,7 @@
 
 // ignoreAfterCancel returns nil if the context has ended, and err otherwise. A
 // reader whose socket is closed on shutdown returns an error that is no failure.
-func ended(ctx context.Context, err error) error {
+func ignoreAfterCancel(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -138,8 +138,8 @@
 }
 
 // updateViews builds a new view on each change of the fleet state.
-func (b *Balancer) follow(ctx context.Context) error {
-	t := time.NewTicker(reviewEvery)
+func (b *Balancer) updateViews(ctx context.Context) error {
+	t := time.NewTicker(viewRefreshInterval)
 	defer t.Stop()
 	for {
 		changed := b.State.Changed()
@@ -156,7 +156,7 @@
 }
 
 // viewRefreshInterval is how often the view is rebuilt without a change.
-const reviewEvery = 5 * time.Second
+const viewRefreshInterval = 5 * time.Second
 
 // apply stores a view built from the bundle and the fleet state. If the bundle
 // version changed, it also updates the peer identity and the service sockets.
@@ -171,21 +171,21 @@
 	ms, _ := b.State.Snapshot()
 	old := b.view.Load()
 	if old.Version != a.Version {
-		b.noteZones(a.Bundle)
+		b.updateZones(a.Bundle)
 	}
 	v := NewView(a, r, ms, b.State.Doubted())
 	v.off = b.off
-	b.planResets(v, a.Bundle)
+	b.scheduleResets(v, a.Bundle)
 	b.view.Store(v)
 	if old.Version != v.Version {
 		b.Rekey(r)
-		b.listen(a.Bundle)
+		b.updatePorts(a.Bundle)
 	}
 	b.SetReady(!v.zoneOut[b.opts.Zone] && !b.leaving.Load())
 }
 
 // updateZones records which zones are out of service and logs each change.
-func (b *Balancer) noteZones(x *bundle.Bundle) {
+func (b *Balancer) updateZones(x *bundle.Bundle) {
 	for _, z := range x.Zones {
 		_, was := b.outSince[z.ID]
 		switch out := z.State == bundle.ZoneStateOut; {
@@ -203,17 +203,17 @@
 // that are out with stateless resets. The agents of such a zone have ZoneOutRun to
 // close their flows, counted from when this balancer learned that the zone is out;
 // a caller that received its agent's close gets no reset.
-func (b *Balancer) planResets(v *View, x *bundle.Bundle) {
-	wait := x.Timeouts.OrDefault().ZoneOutRun + resetMargin
+func (b *Balancer) scheduleResets(v *View, x *bundle.Bundle) {
+	delay := x.Timeouts.OrDefault().ZoneOutRun + resetMargin
 	for _, z := range x.Zones {
 		if t, out := b.outSince[z.ID]; out {
-			v.resetFrom[z.ID] = uint32(t.Add(wait).Unix())
+			v.resetFrom[z.ID] = uint32(t.Add(delay).Unix())
 		}
 	}
 }
 
 // updatePorts opens and closes sockets to match the services of the bundle.
-func (b *Balancer) listen(x *bundle.Bundle) {
+func (b *Balancer) updatePorts(x *bundle.Bundle) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
@@ -230,7 +230,7 @@
 			next[s.ID] = p
 			continue
 		}
-		if p := b.open(s.ID, a); p != nil {
+		if p := b.openPort(s.ID, a); p != nil {
 			next[s.ID] = p
 		}
 	}
@@ -244,7 +244,7 @@
 
 // openPort opens the sockets of one service and starts their forwarders. It
 // returns nil if a socket can't be opened. b.mu must be held.
-func (b *Balancer) open(id bundle.ServiceID, a netip.AddrPort) *port {
+func (b *Balancer) openPort(id bundle.ServiceID, a netip.AddrPort) *port {
 	listen := link.Listen
 	if b.opts.Forwarders > 1 {
 		listen = link.ListenShared
@@ -260,7 +260,7 @@
 		p.sockets = append(p.sockets, s)
 	}
 	for _, s := range p.sockets {
-		f := &forwarder{id: id, zone: b.opts.Zone, in: s, link: b.link, view: &b.view, log: b.Log, count: b.countersLocked()}
+		f := &forwarder{id: id, zone: b.opts.Zone, in: s, link: b.link, view: &b.view, log: b.Log, count: b.newCountersLocked()}
 		b.wait.Go(func() { f.run() })
 	}
 	return p
@@ -270,11 +270,11 @@
 func (b *Balancer) newCounters() *Counters {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.countersLocked()
+	return b.newCountersLocked()
 }
 
 // newCountersLocked is newCounters for callers that hold b.mu.
-func (b *Balancer) countersLocked() *Counters {
+func (b *Balancer) newCountersLocked() *Counters {
 	c := &Counters{}
 	b.counters = append(b.counters, c)
 	return c
--- a/balancer/forwarder.go
+++ b/balancer/forwarder.go
@@ -59,7 +59,7 @@
 		}
 		v, now := f.view.Load(), uint32(time.Now().Unix())
 		for i := range n {
-			f.one(v, b, i, &o, now)
+			f.forwardDatagram(v, b, i, &o, now)
 		}
 		f.count.Lost.Add(uint64(b.Flush(f.link.Batched)))
 	}
@@ -67,26 +67,26 @@
 
 // forwardDatagram decides on the i-th datagram of the batch and queues it for an
 // agent, drops it, or answers it with a stateless reset.
-func (f *forwarder) one(v *View, b *link.Batch, i int, o *quiclb.Opener, now uint32) {
+func (f *forwarder) forwardDatagram(v *View, b *link.Batch, i int, o *quiclb.Opener, now uint32) {
 	var a Action
 	from := b.From(i)
 	v.Decide(f.id, b.Payload(i), o, &a)
-	f.record(&a, from)
+	f.recordDecision(&a, from)
 	if a.Verdict == VerdictDrop {
-		f.tell(v, &a, b.Payload(i), from, now)
+		f.sendReset(v, &a, b.Payload(i), from, now)
 		return
 	}
 	m := link.Message{Kind: link.KindForward, Zone: f.zone, Service: f.id, Caller: from, Sent: now}
 	if a.Verdict == VerdictOpen {
 		m.Kind, m.Count, m.Candidates = link.KindOpen, a.Count, a.Candidates
 	}
-	v.links[0].Put(b.Header(i), &m)
+	v.linkKeys[0].Put(b.Header(i), &m)
 	b.SendWithHeader(i, a.Target())
 }
 
 // sendReset sends the caller a stateless reset if the datagram was dropped because
 // its zone is out and the zone's agents have had time to close their flows.
-func (f *forwarder) tell(v *View, a *Action, p []byte, from netip.AddrPort, now uint32) {
+func (f *forwarder) sendReset(v *View, a *Action, p []byte, from netip.AddrPort, now uint32) {
 	t := v.resetFrom[a.Zone]
 	if a.Reason != events.ReasonZoneOut || t == 0 || now < t {
 		return
@@ -99,7 +99,7 @@
 
 // recordDecision counts the decision. It logs all decisions but forwarding by
 // token and dropping overlong datagrams.
-func (f *forwarder) record(a *Action, from netip.AddrPort) {
+func (f *forwarder) recordDecision(a *Action, from netip.AddrPort) {
 	d := events.Decision{Reason: a.Reason, Service: f.id, Zone: a.Zone, Caller: from, Target: a.Target(), Flow: a.Flow}
 	switch a.Verdict {
 	case VerdictForward:
--- a/balancer/observer.go
+++ b/balancer/observer.go
@@ -28,33 +28,35 @@
 const (
 	// heartbeatInterval is half of the one second within which the return path of
 	// a flow must move to another balancer.
-	heartbeatEvery = 500 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
 	// ackTimeout is four heartbeat intervals. At 10% random loss, a live member
 	// is then doubted once in 10,000 heartbeats, which is acceptable because a
 	// wrong doubt costs little.
-	silentAfter = 4 * heartbeatEvery
+	ackTimeout = 4 * heartbeatInterval
 	// pauseThreshold is the gap between two ticks above which this process itself
 	// is assumed to have been paused.
-	pausedAfter = 3 * heartbeatEvery
+	pauseThreshold = 3 * heartbeatInterval
 	// ackQueueSize is the capacity of the channel from the returner to the
 	// observer. Acknowledgements beyond it are dropped.
-	ackRing = 4096
+	ackQueueSize = 4096
 )
 
 // ack is a heartbeat acknowledgement that the returner received.
 type ack struct {
-	from netip.AddrPort
-	life uint64
-	load uint16
+	from        netip.AddrPort
+	incarnation uint64
+	load        uint16
 }
 
 // subject is a member that this balancer observes.
 type subject struct {
-	member  fleet.Member
-	heard   time.Time
+	member fleet.Member
+	// lastAck is when the last acknowledgement arrived. Initially, and after a
+	// pause of this process, it is the current time.
+	lastAck time.Time
 	doubted bool
 	// publishedAt is when the opinion was last merged into the fleet state.
-	told time.Time
+	publishedAt time.Time
 }
 
 // observer sends heartbeats to its subjects and publishes opinions on them.
@@ -66,21 +68,21 @@
 	acks chan ack
 
 	subjects map[netip.AddrPort]*subject
-	last     time.Time
+	lastTick time.Time
 }
 
 func (o *observer) run(ctx context.Context) error {
 	o.subjects = map[netip.AddrPort]*subject{}
-	t := time.NewTicker(heartbeatEvery)
+	t := time.NewTicker(heartbeatInterval)
 	defer t.Stop()
 	changed := fleet.Immediately()
 	for {
 		select {
 		case <-changed:
 			changed = o.node.State.Changed()
-			o.assign(time.Now())
+			o.updateSubjects(time.Now())
 		case a := <-o.acks:
-			o.heard(a, time.Now())
+			o.handleAck(a, time.Now())
 		case <-t.C:
 			o.tick(time.Now())
 		case <-ctx.Done():
@@ -90,7 +92,7 @@
 }
 
 // updateSubjects determines which members this balancer observes.
-func (o *observer) assign(now time.Time) {
+func (o *observer) updateSubjects(now time.Time) {
 	ms, _ := o.node.State.Snapshot()
 	doubts := o.node.State.Doubted()
 	self := o.node.Self().ID
@@ -98,31 +100,31 @@
 	o.subjects = map[netip.AddrPort]*subject{}
 	for i := range ms {
 		m := &ms[i]
-		if m.ID == self || m.Phase == fleet.PhaseLeft || !observes(self, m, ms, doubts) {
+		if m.ID == self || m.Phase == fleet.PhaseLeft || !isObserver(self, m, ms, doubts) {
 			continue
 		}
 		s := old[m.Link]
 		if s == nil || s.member.Incarnation != m.Incarnation {
-			s = &subject{heard: now}
+			s = &subject{lastAck: now}
 		}
 		s.member = *m
 		o.subjects[m.Link] = s
 	}
-	o.withdraw(old, now)
+	o.withdrawDoubts(old, now)
 }
 
 // withdrawDoubts clears this balancer's doubts about members that it no longer
 // observes. No other observer can clear them.
-func (o *observer) withdraw(old map[netip.AddrPort]*subject, now time.Time) {
+func (o *observer) withdrawDoubts(old map[netip.AddrPort]*subject, now time.Time) {
 	for a, s := range old {
 		if s.doubted && o.subjects[a] == nil {
-			o.form(s, false, now)
+			o.publishOpinion(s, false, now)
 		}
 	}
 }
 
 // isObserver reports whether the balancer self is an observer of the member m.
-func observes(self fleet.MemberID, m *fleet.Member, ms []fleet.Member, doubts map[fleet.MemberID]bool) bool {
+func isObserver(self fleet.MemberID, m *fleet.Member, ms []fleet.Member, doubts map[fleet.MemberID]bool) bool {
 	for _, b := range fleet.Observers(m.ID, ms, doubts, m.Zone) {
 		if b.ID == self {
 			return true
@@ -133,14 +135,14 @@
 
 // handleAck records an acknowledgement and clears a doubt. It ignores one of an
 // earlier incarnation of the member.
-func (o *observer) heard(a ack, now time.Time) {
+func (o *observer) handleAck(a ack, now time.Time) {
 	s := o.subjects[a.from]
-	if s == nil || uint64(s.member.Incarnation) != a.life {
+	if s == nil || uint64(s.member.Incarnation) != a.incarnation {
 		return
 	}
-	s.heard = now
+	s.lastAck = now
 	if s.doubted {
-		o.form(s, false, now)
+		o.publishOpinion(s, false, now)
 	}
 }
 
@@ -149,30 +151,30 @@
 func (o *observer) tick(now time.Time) {
 	// After a pause of this process, such as a VM migration, every member appears
 	// silent. The pause shows as a gap between ticks; ackTimeout then starts anew.
-	paused := !o.last.IsZero() && now.Sub(o.last) > pausedAfter
-	o.last = now
+	paused := !o.lastTick.IsZero() && now.Sub(o.lastTick) > pauseThreshold
+	o.lastTick = now
 	v := o.view.Load()
 	m := link.Message{Kind: link.KindHeartbeat, Zone: o.node.Self().Zone, Number: uint64(o.node.Self().Incarnation), Sent: uint32(now.Unix())}
 	var b [link.HeaderSize]byte
-	v.links[0].Put(b[:], &m)
+	v.linkKeys[0].Put(b[:], &m)
 	for a, s := range o.subjects {
 		if paused {
-			s.heard = now
+			s.lastAck = now
 		}
-		silent := now.Sub(s.heard) > silentAfter
-		if silent && (!s.doubted || now.Sub(s.told) > fleet.DoubtEvery) {
-			o.form(s, true, now)
+		silent := now.Sub(s.lastAck) > ackTimeout
+		if silent && (!s.doubted || now.Sub(s.publishedAt) > fleet.DoubtEvery) {
+			o.publishOpinion(s, true, now)
 		}
 		o.link.WriteToUDPAddrPort(b[:], a)
 	}
 }
 
 // publishOpinion merges the opinion into the fleet state and logs it if it changed.
-func (o *observer) form(s *subject, doubted bool, now time.Time) {
+func (o *observer) publishOpinion(s *subject, doubted bool, now time.Time) {
 	if s.doubted != doubted {
 		o.logOpinion(s, doubted, now)
 	}
-	s.doubted, s.told = doubted, now
+	s.doubted, s.publishedAt = doubted, now
 	o.node.State.Merge(fleet.Change{Opinions: []fleet.Opinion{{
 		Observer: o.node.Self().ID, Subject: s.member.ID, Life: s.member.Incarnation,
 		Doubted: doubted, Stamp: uint64(now.UnixMicro()),
@@ -184,5 +186,5 @@
 	if doubted {
 		id = events.MemberDoubted
 	}
-	o.log.Add(id, slog.String("member", string(s.member.ID)), slog.Duration("silent", now.Sub(s.heard)))
+	o.log.Add(id, slog.String("member", string(s.member.ID)), slog.Duration("silent", now.Sub(s.lastAck)))
 }
--- a/balancer/observer_test.go
+++ b/balancer/observer_test.go
@@ -22,14 +22,14 @@
 	n := peer.NewNode(fleet.NewState(nil), nil, nil, log, self)
 	n.State.Merge(fleet.Change{Members: ms})
 	var v atomic.Pointer[View]
-	v.Store(&View{links: link.NewKeys(keyring.Ring{secret})})
+	v.Store(&View{linkKeys: link.NewKeys(keyring.Ring{secret})})
 	return &observer{node: n, link: socket(t), view: &v, log: log}
 }
 
 // runTicks calls tick at each heartbeat interval of the duration and returns the
 // time of the next tick.
-func (o *observer) play(from time.Time, d time.Duration) time.Time {
-	for end := from.Add(d); from.Before(end); from = from.Add(heartbeatEvery) {
+func (o *observer) runTicks(from time.Time, d time.Duration) time.Time {
+	for end := from.Add(d); from.Before(end); from = from.Add(heartbeatInterval) {
 		o.tick(from)
 	}
 	return from
@@ -52,18 +52,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := testObserver(t, m)
-			o.assign(start)
-			now := o.play(start, time.Second)
-			o.heard(ack{from: m.Link, life: 5}, now)
-			now = o.play(now.Add(x.pause), x.silent)
+			o.updateSubjects(start)
+			now := o.runTicks(start, time.Second)
+			o.handleAck(ack{from: m.Link, incarnation: 5}, now)
+			now = o.runTicks(now.Add(x.pause), x.silent)
 			if s := o.subjects[m.Link]; s == nil || s.doubted != x.doubted {
 				t.Errorf("subject has the wrong doubt or is missing: %+v", s)
 			}
-			o.heard(ack{from: m.Link, life: 4}, now)
+			o.handleAck(ack{from: m.Link, incarnation: 4}, now)
 			if x.doubted != o.subjects[m.Link].doubted {
 				t.Error("an acknowledgement of an earlier incarnation changed the doubt")
 			}
-			o.heard(ack{from: m.Link, life: 5}, now)
+			o.handleAck(ack{from: m.Link, incarnation: 5}, now)
 			if o.subjects[m.Link].doubted {
 				t.Error("an acknowledgement did not clear the doubt")
 			}
@@ -78,11 +78,11 @@
 	m.Incarnation = 5
 	start := time.Unix(1_800_000_000, 0)
 	o := testObserver(t, m)
-	o.assign(start)
-	now := o.play(start, 4*time.Second)
+	o.updateSubjects(start)
+	now := o.runTicks(start, 4*time.Second)
 	m.Phase, m.Revision = fleet.PhaseLeft, 1
 	o.node.State.Merge(fleet.Change{Members: []fleet.Member{m}})
-	o.assign(now)
+	o.updateSubjects(now)
 	_, os := o.node.State.Snapshot()
 	if len(os) != 1 || os[0].Doubted {
 		t.Errorf("opinions %+v, want one that does not doubt", os)
--- a/balancer/reset.go
+++ b/balancer/reset.go
@@ -26,12 +26,12 @@
 const (
 	// resetTokenLen is the length of the token at the end of a reset, and
 	// minResetLen that of the shortest reset, in bytes (RFC 9000, section 10.3).
-	resetToken = 16
-	resetLeast = 21
+	resetTokenLen = 16
+	minResetLen   = 21
 	// maxResetLen makes a reset look like a short packet of an established flow.
-	resetLength = 43
+	maxResetLen = 43
 	// maxResetsPerSecond limits the resets of one forwarder.
-	resetsMost = 2000
+	maxResetsPerSecond = 2000
 	// resetMargin gives the agent's close time to arrive before a reset is sent.
 	resetMargin = time.Second
 	// shortMask and shortForm set the header form and fixed bit of a QUIC packet
@@ -57,7 +57,7 @@
 	sent   int
 	hash   []hash.Hash
 	keys   resetKeys
-	buffer [resetLength]byte
+	buffer [maxResetLen]byte
 }
 
 // reset answers the datagram p with stateless resets if it is a packet of an
@@ -69,11 +69,11 @@
 // reset sends one reset for each key during a key rotation.
 func (x *resetter) reset(ks resetKeys, p []byte, to netip.AddrPort, out *link.Socket, now uint32) bool {
 	class, cid := quiclb.Classify(p)
-	n := min(resetLength, len(p)-1)
-	if class != quiclb.ClassEstablished || !quiclb.IsShort(p) || n < resetLeast || !x.spend(now) {
+	n := min(maxResetLen, len(p)-1)
+	if class != quiclb.ClassEstablished || !quiclb.IsShort(p) || n < minResetLen || !x.allow(now) {
 		return false
 	}
-	x.use(ks)
+	x.setKeys(ks)
 	for _, h := range x.hash {
 		b := x.buffer[:n]
 		rand.Read(b)
@@ -81,14 +81,14 @@
 		h.Reset()
 		h.Write(cid)
 		var sum [sha256.Size]byte
-		copy(b[n-resetToken:], h.Sum(sum[:0]))
+		copy(b[n-resetTokenLen:], h.Sum(sum[:0]))
 		out.WriteToUDPAddrPort(b, to)
 	}
 	return true
 }
 
 // setKeys creates the HMACs of the keys unless they exist already.
-func (x *resetter) use(ks resetKeys) {
+func (x *resetter) setKeys(ks resetKeys) {
 	if len(x.keys) == len(ks) && (len(ks) == 0 || &x.keys[0] == &ks[0]) {
 		return
 	}
@@ -99,10 +99,10 @@
 }
 
 // allow consumes one of this second's resets and reports whether one was left.
-func (x *resetter) spend(now uint32) bool {
+func (x *resetter) allow(now uint32) bool {
 	if now != x.second {
 		x.second, x.sent = now, 0
 	}
 	x.sent++
-	return x.sent <= resetsMost
+	return x.sent <= maxResetsPerSecond
 }
--- a/balancer/reset_test.go
+++ b/balancer/reset_test.go
@@ -23,12 +23,12 @@
 	}{
 		"packet of an established flow": {tail(40), keyring.Ring{secret}, 0, 1},
 		"key rotation":                  {tail(40), keyring.Ring{secret, keyring.NewSecret(2)}, 0, 2},
-		"shortest answered packet":      {tail(resetLeast - quiclb.Size), keyring.Ring{secret}, 0, 1},
-		"packet too short":              {tail(resetLeast - quiclb.Size - 1), keyring.Ring{secret}, 0, 0},
+		"shortest answered packet":      {tail(minResetLen - quiclb.Size), keyring.Ring{secret}, 0, 1},
+		"packet too short":              {tail(minResetLen - quiclb.Size - 1), keyring.Ring{secret}, 0, 0},
 		"opening":                       {initial(7), keyring.Ring{secret}, 0, 0},
 		"empty datagram":                {nil, keyring.Ring{secret}, 0, 0},
 		"no keys":                       {tail(40), nil, 0, 0},
-		"rate limit reached":            {tail(40), keyring.Ring{secret}, resetsMost, 0},
+		"rate limit reached":            {tail(40), keyring.Ring{secret}, maxResetsPerSecond, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out, caller := socket(t), socket(t)
--- a/balancer/returner.go
+++ b/balancer/returner.go
@@ -11,12 +11,12 @@
 // returner reads the link socket. It sends agents' datagrams to callers,
 // acknowledges heartbeats, and passes heartbeat acknowledgements to the observer.
 type returner struct {
-	link  *link.Socket
-	view  *atomic.Pointer[View]
-	ports *atomic.Pointer[portMap]
-	life  uint64
-	acks  chan<- ack
-	count *Counters
+	link        *link.Socket
+	view        *atomic.Pointer[View]
+	ports       *atomic.Pointer[portMap]
+	incarnation uint64
+	acks        chan<- ack
+	count       *Counters
 
 	// out holds a send queue for each port. touched lists the ports whose queues
 	// the current batch added to.
@@ -39,7 +39,7 @@
 		}
 		v, ports := r.view.Load(), *r.ports.Load()
 		for i := range n {
-			r.one(v, ports, b.Payload(i), b.From(i))
+			r.handleMessage(v, ports, b.Payload(i), b.From(i))
 		}
 		r.flush()
 		if len(r.out) > 2*len(ports) {
@@ -57,9 +57,9 @@
 }
 
 // handleMessage authenticates and handles one message from the link socket.
-func (r *returner) one(v *View, ports portMap, p []byte, from netip.AddrPort) {
+func (r *returner) handleMessage(v *View, ports portMap, p []byte, from netip.AddrPort) {
 	var m link.Message
-	payload, ok := v.links.Get(p, &m)
+	payload, ok := v.linkKeys.Get(p, &m)
 	if !ok {
 		r.count.Refused.Add(1)
 		return
@@ -68,12 +68,12 @@
 	case link.KindReturn:
 		r.deliver(ports[m.Service], payload, m.Caller)
 	case link.KindHeartbeat:
-		m.Kind, m.Number = link.KindHeartbeatAck, r.life
-		v.links[0].Put(r.reply[:], &m)
+		m.Kind, m.Number = link.KindHeartbeatAck, r.incarnation
+		v.linkKeys[0].Put(r.reply[:], &m)
 		r.link.WriteToUDPAddrPort(r.reply[:], from)
 	case link.KindHeartbeatAck:
 		select {
-		case r.acks <- ack{from: from, life: m.Number, load: m.Load}:
+		case r.acks <- ack{from: from, incarnation: m.Number, load: m.Load}:
 		default: // dropped; the next heartbeat brings another acknowledgement
 		}
 	}
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -21,14 +21,14 @@
 )
 
 // maxCandidates is the number of agents that an opening may try.
-const candidates = 3
+const maxCandidates = 3
 
 // View holds everything that decisions depend on. It is immutable and replaced as
 // a whole.
 type View struct {
-	Version bundle.Version
-	tokens  quiclb.Keys
-	links   link.Keys
+	Version   bundle.Version
+	tokenKeys quiclb.Keys
+	linkKeys  link.Keys
 	// services is indexed by service ID. With a map, the lookup took a quarter of
 	// the time of an opening in a large fleet.
 	services []*service
@@ -59,10 +59,10 @@
 // not define count as out of service.
 func NewView(a *bundle.Accepted, r keyring.Ring, ms []fleet.Member, doubts map[fleet.MemberID]bool) *View {
 	v := &View{
-		Version: a.Version,
-		tokens:  quiclb.NewKeys(r),
-		links:   link.NewKeys(r),
-		resets:  newResetKeys(r),
+		Version:   a.Version,
+		tokenKeys: quiclb.NewKeys(r),
+		linkKeys:  link.NewKeys(r),
+		resets:    newResetKeys(r),
 	}
 	for i := range v.zoneOut {
 		v.zoneOut[i] = true
@@ -78,7 +78,7 @@
 		v.services[s.ID] = &service{}
 	}
 	for i := range ms {
-		v.add(&ms[i], doubts[ms[i].ID])
+		v.addMember(&ms[i], doubts[ms[i].ID])
 	}
 	return v
 }
@@ -92,7 +92,7 @@
 }
 
 // addMember adds the member to its service if it is an agent that takes openings.
-func (v *View) add(m *fleet.Member, doubted bool) {
+func (v *View) addMember(m *fleet.Member, doubted bool) {
 	s := v.service(m.Service)
 	if s == nil || m.Role != fleet.RoleAgent || m.Phase != fleet.PhaseReady || v.zoneOut[m.Zone] {
 		return
@@ -145,15 +145,15 @@
 		a.Reason = events.ReasonNotQUIC
 		return
 	}
-	if r, ok := o.Open(v.tokens, cid); ok && !v.off.Has(guard.Token) {
-		v.established(id, r, a)
+	if r, ok := o.Open(v.tokenKeys, cid); ok && !v.off.Has(guard.Token) {
+		v.decideEstablished(id, r, a)
 		return
 	}
 	if class != quiclb.ClassOpening && !v.off.Has(guard.Token) {
 		a.Reason = events.ReasonBadToken
 		return
 	}
-	v.open(id, cid, a)
+	v.decideOpening(id, cid, a)
 }
 
 // decideEstablished forwards a datagram by the route in its token.
@@ -163,7 +163,7 @@
 // the agents of another; a well-behaved caller never sends such a datagram. It
 // also drops datagrams to a zone that operators have taken out of service, which
 // must receive no traffic even for flows that are still open there.
-func (v *View) established(id bundle.ServiceID, r quiclb.Route, a *Action) {
+func (v *View) decideEstablished(id bundle.ServiceID, r quiclb.Route, a *Action) {
 	a.Zone = r.Zone
 	if r.Service != id && !v.off.Has(guard.Service) {
 		a.Reason = events.ReasonService
@@ -180,16 +180,16 @@
 // decideOpening ranks the agents of the service for an opening by rendezvous
 // hashing. The key is the caller's initial connection ID, which all datagrams of
 // one opening share. Balancers with equal views therefore rank the agents equally.
-func (v *View) open(id bundle.ServiceID, cid []byte, a *Action) {
+func (v *View) decideOpening(id bundle.ServiceID, cid []byte, a *Action) {
 	s := v.service(id)
 	a.Flow = fleet.HashOf(cid)
 	if s == nil {
 		a.Reason = events.ReasonNoCandidate
 		return
 	}
-	a.take(s.usable)
-	if a.Count < candidates {
-		a.take(s.doubted)
+	a.addBest(s.usable)
+	if a.Count < maxCandidates {
+		a.addBest(s.doubted)
 	}
 	if a.Count == 0 {
 		a.Reason = events.ReasonNoCandidate
@@ -199,16 +199,16 @@
 }
 
 // addBest appends the highest-ranked agents of cs until a has maxCandidates.
-func (a *Action) take(cs []candidate) {
-	var score [candidates]uint64
+func (a *Action) addBest(cs []candidate) {
+	var score [maxCandidates]uint64
 	first, n := int(a.Count), 0
-	room := candidates - first
+	free := maxCandidates - first
 	for i := range cs {
 		x := fleet.Mix(a.Flow, cs[i].hash)
-		if n == room && x <= score[n-1] {
+		if n == free && x <= score[n-1] {
 			continue
 		}
-		if n < room {
+		if n < free {
 			n++
 		}
 		j := n - 1
--- a/balancer/view_test.go
+++ b/balancer/view_test.go
@@ -24,12 +24,12 @@
 
 // newTestView returns a view of the given number of services and agents per
 // service. The agents are spread over three zones, of which the third is out.
-func newTestView(services, each int, doubts map[fleet.MemberID]bool) (*View, []fleet.Member) {
+func newTestView(services, agentsPerService int, doubts map[fleet.MemberID]bool) (*View, []fleet.Member) {
 	b := &bundle.Bundle{Zones: []bundle.Zone{{ID: 1, State: bundle.ZoneStateIn}, {ID: 2, State: bundle.ZoneStateIn}, {ID: 3, State: bundle.ZoneStateOut}}}
 	var ms []fleet.Member
 	for i := range services {
 		b.Services = append(b.Services, bundle.Service{ID: bundle.ServiceID(i + 1)})
-		for range each {
+		for range agentsPerService {
 			ms = append(ms, agentAt(len(ms)+1, bundle.ServiceID(i+1), bundle.ZoneID(len(ms)%3+1)))
 		}
 	}
