--- a/upstream/allowance.go
+++ b/upstream/allowance.go
@@ -1,10 +1,12 @@
 // This file decides how many slots of an upstream may be used. A cold upstream
-// starts at what the bundle says it bears; each run of good answers doubles that
-// up to the limit; a sign of coldness takes it back to the start. Health and load
-// end points are not asked: they lag, and say that all is well while every answer
-// is late. The signs are the answers themselves: a refused connection, an error,
-// shedding, or an answer much slower than this upstream's usual. Given up: speed
-// of the warm-up, which takes one run of answers for each doubling.
+// starts with the cold-start slots of the bundle. Each series of good responses
+// doubles the slots up to the upstream's limit. Any sign that the upstream is cold
+// sets them back to the start: a refused connection, an error, a shed request, or
+// responses much slower than usual for this upstream.
+//
+// Health and load endpoints are not used. They lag, and may report a healthy
+// upstream while every response is late. The trade-off is a slower warm-up, which
+// takes one series of responses for each doubling.
 
 package upstream
 
@@ -14,51 +16,58 @@
 	"pomeloway.example/pomeloway/bundle"
 )
 
-// Sign is what the end of one piece of work says about the upstream.
+// Feedback says what the end of one request shows about the upstream.
 type Sign struct {
 	Kind SignKind
-	// Began is when the work was given to the upstream.
+	// Began is when the request was sent to the upstream.
 	Began time.Time
 }
 
-// SignKind is how work ended.
+// FeedbackKind classifies how a request ended.
 type SignKind uint8
 
-// Kinds of signs.
+// Kinds of feedback.
 const (
-	// SignNone says nothing: the caller went away, say.
+	// FeedbackNone says nothing about the upstream, for example because the
+	// caller canceled the request.
 	SignNone SignKind = iota
-	// SignGood is a whole answer.
+	// FeedbackGood is a complete response.
 	SignGood
-	// SignBad is a refused connection, an error or a shed request.
+	// FeedbackBad is a refused connection, an error or a shed request.
 	SignBad
 )
 
 const (
-	// slowFactor over the usual time is slow, and slowRun slow answers in a row
-	// are a sign of coldness: one may be a page that is rarely asked for.
+	// A response is slow if it takes more than slowFactor times the baseline
+	// latency. Only slowStreak slow responses in a row mark the upstream as cold,
+	// since a single one may be a page that is rarely requested.
 	slowFactor = 4
 	slowRun    = 3
-	// slowLeast keeps the noise of very fast answers from being one.
+	// minSlowLatency keeps jitter of very fast responses from counting as slow.
 	slowLeast = 20 * time.Millisecond
-	// The usual time follows a faster answer by a quarter and a slower one by a
-	// sixty-fourth, so that it stays near the fast answers and a slow phase of
-	// another cause doesn't hide a cold start.
+	// The baseline moves towards a faster response by a quarter of the difference
+	// and towards a slower one by a sixty-fourth. It thus stays near the fast
+	// responses, and a slow phase of another cause does not hide a cold start.
 	usualDown = 4
 	usualUp   = 64
 )
 
-// Allowance is how much work an upstream may have now.
+// Allowance is the adaptive concurrency limit of an upstream.
 type Allowance struct {
-	limits  bundle.Limits
+	limits bundle.Limits
+	// allowed is the number of requests that may be in flight now.
 	allowed int
-	good    int
-	usual   time.Duration
-	slow    int
-	// fell is when the last cold start was found.
+	// good counts the good responses since the last doubling.
+	good int
+	// baseline is a moving average of the time to first byte.
+	usual time.Duration
+	// slow counts the slow responses in a row.
+	slow int
+	// coldSince is when the last cold start was detected.
 	fell time.Time
 }
 
+// setLimits sets the limits. The first call starts the upstream cold.
 func (a *Allowance) limit(l bundle.Limits, first bool) {
 	a.limits = l
 	if first {
@@ -67,14 +76,15 @@
 	a.allowed = min(a.allowed, l.Slots)
 }
 
-// Slots returns the work in flight that the upstream bears now.
+// Slots returns how many requests may be in flight now.
 func (a *Allowance) Slots() int { return a.allowed }
 
-// Warm reports whether the whole limit is allowed.
+// Warm reports whether all slots of the upstream may be used.
 func (a *Allowance) Warm() bool { return a.allowed >= a.limits.Slots }
 
-// learnTime learns from the time to an answer's first byte. It is heard before the
-// work ends: the answer may take long to reach its caller.
+// recordLatency updates the allowance with a response's time to first byte, and
+// reports whether it found the upstream cold. It is called before the request
+// ends, since the response may take long to reach its caller.
 func (a *Allowance) learnTime(began time.Time, took time.Duration) (cold bool) {
 	switch {
 	case a.isOld(began):
@@ -86,14 +96,15 @@
 	return false
 }
 
-// isOld reports whether the work was begun before the upstream turned cold. Such work
-// ends well and fast after it; counted as good answers of the cold upstream it would
-// widen the allowance at once.
+// precedesColdStart reports whether a request that began at the time began before
+// the last cold start. Such requests may still end well and fast; counted as good
+// responses of the cold upstream, they would raise the allowance at once.
 func (a *Allowance) isOld(began time.Time) bool {
 	return !began.IsZero() && began.Before(a.fell)
 }
 
-// fall takes the allowance back to the start and reports whether it was wider.
+// resetToCold sets the allowance to the cold-start slots and reports whether it
+// was higher.
 func (a *Allowance) fall() (cold bool) {
 	a.slow, a.fell = 0, time.Now()
 	cold = a.allowed > a.limits.ColdStart.Slots
@@ -101,6 +112,8 @@
 	return cold
 }
 
+// applyFeedback updates the allowance when a request has ended. It reports whether
+// it found the upstream cold, or whether the upstream became fully warm.
 func (a *Allowance) learn(s Sign) (cold, warm bool) {
 	switch {
 	case a.isOld(s.Began), s.Kind == SignNone:
@@ -120,7 +133,8 @@
 	return false, a.Warm()
 }
 
-// isSlow reports whether the answer ends a run of slow ones.
+// addLatency counts slow responses in a row and reports whether there were at
+// least slowStreak.
 func (a *Allowance) isSlow(d time.Duration) bool {
 	switch {
 	case a.usual == 0:
@@ -132,6 +146,7 @@
 	return a.slow >= slowRun
 }
 
+// updateBaseline moves the baseline towards the latency of a response.
 func (a *Allowance) remember(d time.Duration) {
 	switch {
 	case a.usual == 0:
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -15,23 +15,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// RequestID names one run of one request towards the upstream.
+// RequestID identifies one attempt to run a request on an upstream.
 type RequestID string
 
-// HeaderRequest carries the RequestID to the upstream and back.
+// HeaderRequest is the header that carries the RequestID to the upstream and back.
 const HeaderRequest = "Pomeloway-Request"
 
-// HeaderTimeout carries what is left of the caller's deadline, as a Go duration.
+// HeaderTimeout is the header that carries the time until the caller's deadline,
+// as a Go duration.
 const HeaderTimeout = "Request-Timeout"
 
-// Errors of Client.Do. ErrNotRun is certain: the request never left. Any other
-// error leaves the outcome unknown.
+// Errors of Client.Do. ErrNotRun guarantees that the request was not sent. After
+// any other error, it is unknown whether the upstream ran the request.
 var (
 	ErrNotRun   = errors.New("request did not reach the upstream")
 	ErrMismatch = errors.New("upstream's answer was to another request")
 	errTaken    = errors.New("request's id is in use")
 )
 
+// Limits of the HTTP transport.
 const (
 	dialTimeout   = 2 * time.Second
 	idleMost      = 64
@@ -40,12 +42,14 @@
 	expectTimeout = time.Second
 )
 
-// Client sends requests to the upstream over HTTP and matches its answers.
+// Client sends requests to the upstream over HTTP and matches its responses to
+// them.
 type Client struct {
-	// CheckID says that an answer must carry its request's id.
+	// CheckID requires that a response carries the ID of its request.
 	CheckID atomic.Bool
-	// Crossed counts answers that came on another request's connection,
-	// Dropped those that nobody waited for any more.
+	// Crossed counts responses that arrived on the connection of another request
+	// and were delivered to their own. Dropped counts responses that no request
+	// was waiting for.
 	Crossed, Dropped atomic.Uint64
 
 	address netip.AddrPort
@@ -55,32 +59,35 @@
 	waiting map[RequestID]chan *http.Response
 }
 
-// Protocol is what an upstream speaks.
+// Protocol is the HTTP version that an upstream supports.
 type Protocol string
 
-// Protocols of upstreams. Over HTTP/1.1 each open feed takes a connection; over
-// HTTP/2 without TLS (prior knowledge, RFC 9113, 3.3) all share some.
+// Protocols of upstreams. Over HTTP/1.1, each open feed occupies a connection.
+// Over HTTP/2 without TLS (prior knowledge, RFC 9113, section 3.3), all requests
+// share a few connections.
 const (
 	ProtocolHTTP1 Protocol = "http/1.1"
 	ProtocolH2C   Protocol = "h2c"
 )
 
-// streamBuffer is what the upstream may send of one answer before its caller has
-// taken it, in bytes. The buffer of a whole connection is left as large as the
-// library makes it.
+// streamBufferSize is the HTTP/2 flow-control window of a stream in bytes: how much
+// of a response the upstream may send before the caller reads it. The window of
+// the connection keeps the library's default.
 //
-// A caller that reads nothing fills its stream's share of the connection. Were
-// the connection's buffer a few times the stream's, a few such callers would
-// stop the feeds of all others; it shows as boards that stand still.
+// A caller that does not read fills the window of its stream. If the connection's
+// window were only a few times larger, a few such callers would block the feeds of
+// all others on that connection, and their display boards would stop updating.
 const streamBuffer = 64 << 10
 
-// Pings find an upstream that fell silent on a connection that many feeds share.
+// HTTP/2 pings detect an upstream that stopped responding on a connection that many
+// feeds share. A ping is sent after pingIdleTimeout without a received frame and
+// must be acknowledged within pingTimeout.
 const (
 	pingAfter = 5 * time.Second
 	pingWait  = 5 * time.Second
 )
 
-// set makes the transport speak the protocol.
+// configure sets up the transport for the protocol.
 func (p Protocol) set(t *http.Transport, d *net.Dialer) {
 	if p != ProtocolH2C {
 		t.DialContext = lingering(d)
@@ -91,10 +98,10 @@
 	t.HTTP2 = &http.HTTP2Config{MaxReceiveBufferPerStream: streamBuffer, SendPingTimeout: pingAfter, PingTimeout: pingWait}
 }
 
-// NewClient returns a client of the upstream at the address.
+// NewClient returns a client for the upstream at the address.
 func NewClient(a netip.AddrPort, p Protocol) *Client { return NewClientOver(a, NewTransport(p)) }
 
-// NewTransport returns a transport for upstreams that speak the protocol.
+// NewTransport returns an HTTP transport for upstreams with the protocol.
 func NewTransport(p Protocol) http.RoundTripper {
 	d := net.Dialer{Timeout: dialTimeout}
 	t := &http.Transport{
@@ -109,23 +116,24 @@
 	return t
 }
 
-// NewClientOver returns a client that reaches the upstream by the transport,
-// which must tell of a connection through httptrace, as net/http's does.
+// NewClientWithTransport returns a client that uses the given transport. Like the
+// transport of net/http, it must call the GotConn hook of httptrace: a request that
+// fails before GotConn counts as not run.
 func NewClientOver(a netip.AddrPort, tr http.RoundTripper) *Client {
 	return &Client{address: a, tr: tr, waiting: map[RequestID]chan *http.Response{}}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	if t, ok := c.tr.(interface{ CloseIdleConnections() }); ok {
 		t.CloseIdleConnections()
 	}
 }
 
-// maxHealth bounds what is read of a health end point's answer, in bytes.
+// maxHealthBody limits how much of a health response is read, in bytes.
 const maxHealth = 4 << 10
 
-// Health returns the status that the upstream answers at the path.
+// Health requests the path from the upstream and returns the HTTP status.
 func (c *Client) Health(ctx context.Context, path string) (int, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address.String()+path, nil)
 	if err != nil {
@@ -136,20 +144,21 @@
 		return 0, eris.Wrap(err, "health")
 	}
 	defer a.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(a.Body, maxHealth)) // so that the connection is kept
+	io.Copy(io.Discard, io.LimitReader(a.Body, maxHealth)) // lets the transport reuse the connection
 	return a.StatusCode, nil
 }
 
-// idempotencyHeaders make net/http's transport repeat any request, a POST too,
-// when a kept connection fails.
+// idempotencyHeaders are the headers that make net/http's transport resend any
+// request, even a POST, when a reused connection fails.
 var idempotencyHeaders = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// Do sends the request under the id and returns the answer to it.
+// Do sends the request with the ID and returns its response.
 //
-// With an idempotency header net/http's transport would send an order again
-// after its connection broke in mid-request; it would show as one order run
-// twice. The header ends at the agent, which keeps the promise itself, so the
-// transport repeats a POST only when not one byte of it was written.
+// Do removes idempotency headers. With one, net/http's transport would resend an
+// order after its connection broke mid-request, and the order would run twice.
+// The agent itself guarantees idempotency, so the upstream does not need the
+// header. Without it, the transport resends a POST only if no byte of it was
+// written.
 func (c *Client) Do(r *http.Request, id RequestID) (*http.Response, error) {
 	ch, err := c.expect(id)
 	if err != nil {
@@ -171,8 +180,8 @@
 	return c.match(r.Context(), a, id, ch)
 }
 
-// exchange makes the round trip. The answer may turn out to be another
-// request's, so it outlives the request's context once it is handed over.
+// exchange makes the round trip. The response may belong to another request, so
+// it can be detached from the context of r to outlive it.
 func (c *Client) exchange(r *http.Request) (*answer, error) {
 	var used atomic.Pointer[httptrace.GotConnInfo]
 	ctx, cancel := context.WithCancel(context.WithoutCancel(r.Context()))
@@ -196,30 +205,31 @@
 	return &answer{Response: a, detach: detach}, nil
 }
 
-// answer is a response and the function that frees it from the context of the
-// request whose connection it came on.
+// detachableResponse is a response with a function that detaches it from the
+// context of the request on whose connection it arrived.
 type answer struct {
 	*http.Response
 	detach func() bool
 }
 
-// body ends its exchange when it is closed.
+// body is a response body. Closing it cancels the exchange.
 type body struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 	conn   net.Conn
-	whole  bool
+	// complete is set once the body was read to its end.
+	whole bool
 }
 
-// Read reads the answer's body and notes its end.
+// Read reads from the response body and records when its end is reached.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	b.whole = b.whole || err == io.EOF
 	return n, err
 }
 
-// EndOf returns the end of a request whose answer's body was closed; nil if its
-// upstream has stopped already.
+// OnStopOf returns the OnStop of the request with the closed response body. It
+// returns nil if the body was read to its end: the upstream has then stopped.
 func EndOf(answer io.ReadCloser) End {
 	b, ok := answer.(*body)
 	if !ok || b.whole {
@@ -228,12 +238,14 @@
 	return endOn(b.conn)
 }
 
-// Close closes the body and cancels what is left of the exchange.
+// Close closes the body and cancels the exchange if it still runs.
 func (b *body) Close() error {
 	defer b.cancel()
 	return b.ReadCloser.Close()
 }
 
+// register returns the channel on which a response with the ID is delivered if it
+// arrives on another request's connection.
 func (c *Client) expect(id RequestID) (chan *http.Response, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -245,7 +257,8 @@
 	return ch, nil
 }
 
-// forget drops an answer that was handed over but is waited for no more.
+// unregister ends the wait for the ID and drops a response that was delivered but
+// not received.
 func (c *Client) forget(id RequestID) {
 	c.mu.Lock()
 	ch := c.waiting[id]
@@ -258,20 +271,22 @@
 	}
 }
 
+// drop counts and closes a response that no request is waiting for.
 func (c *Client) drop(a *http.Response) {
 	c.Dropped.Add(1)
 	a.Body.Close()
 }
 
-// crossWait is how long a request waits for its own answer after another's came
-// on its connection.
+// crossedTimeout is how long a request waits for its own response after that of
+// another request arrived on its connection.
 const crossWait = 2 * time.Second
 
-// match returns the answer to the request with the id.
+// match returns the response to the request with the ID.
 //
-// An upstream that mixes up its answers would show one caller another's letter.
-// The id in the answer tells: an answer to a request that still waits is handed
-// to it, any other is dropped, and this request waits for its own.
+// An upstream that mixes up its responses would show one caller the letter of
+// another. The ID in the response detects this: a response to another pending
+// request is delivered to that request, any other response is dropped, and this
+// request waits for its own.
 func (c *Client) match(ctx context.Context, a *answer, id RequestID, own chan *http.Response) (*http.Response, error) {
 	if !c.CheckID.Load() || RequestID(a.Header.Get(HeaderRequest)) == id {
 		return a.Response, nil
@@ -290,6 +305,7 @@
 	}
 }
 
+// deliver passes the response to the pending request with its ID, or drops it.
 func (c *Client) handOver(a *http.Response) {
 	c.mu.Lock()
 	ch, ok := c.waiting[RequestID(a.Header.Get(HeaderRequest))]
@@ -308,8 +324,8 @@
 	c.Crossed.Add(1)
 }
 
-// Sizes of the buffers that a body passes through, whatever its length. A feed
-// that mostly waits holds the small one while it does.
+// Sizes of the buffers that Stream reads into, independent of the body's length. A
+// feed that is idle holds a small one.
 const (
 	smallCopy = 2 << 10
 	largeCopy = 32 << 10
@@ -320,9 +336,9 @@
 	largeBuffers = sync.Pool{New: func() any { b := make([]byte, largeCopy); return &b }}
 )
 
-// Stream copies body to w and flushes after each read, so that a feed's first
-// byte arrives at once and a slow reader slows the writer. It reads into a large
-// buffer only while the last read filled the one before.
+// Stream copies body to w and flushes after each read, so that data of a feed
+// arrives without delay and a slow reader slows down the upstream. It uses a large
+// buffer only after a read that filled the previous buffer.
 func Stream(w io.Writer, flush func() error, body io.Reader) error {
 	pool := &smallBuffers
 	for {
@@ -333,11 +349,11 @@
 		pool.Put(b)
 		switch {
 		case werr != nil:
-			return eris.Wrap(werr, "to caller")
+			return eris.Wrap(werr, "write to caller")
 		case err == io.EOF:
 			return nil
 		case err != nil:
-			return eris.Wrap(err, "from upstream")
+			return eris.Wrap(err, "read from upstream")
 		}
 		pool = &smallBuffers
 		if full {
@@ -346,6 +362,7 @@
 	}
 }
 
+// writeAndFlush writes p to w and flushes it. An empty p is skipped.
 func forward(w io.Writer, flush func() error, p []byte) error {
 	if len(p) == 0 {
 		return nil
--- a/upstream/gate.go
+++ b/upstream/gate.go
@@ -1,12 +1,13 @@
-// Package upstream is the agent's side towards its one upstream: how much work
-// it may be given, in what order, and how its answers are told apart.
+// Package upstream connects an agent to its single upstream. It limits the number
+// of requests in flight, orders waiting requests, and matches responses to
+// requests.
 //
-// This file is the gate that all work passes. The agent is the only way to its
-// upstream, so its own count is the truth and needs no load report. Waiting
-// requests stand in one queue for each flow, served round robin, so that a flow
-// with a hundred requests delays one with a single request by one turn only. Each
-// operation costs constant time, but for leaving the queue, which reads it. Given
-// up: priorities.
+// This file implements the gate, the admission control that all requests pass. All
+// requests reach the upstream through its agent, so the agent's own count is exact
+// and needs no load reports. Waiting requests are queued per flow, and the queues
+// are served round-robin, so that a flow with a hundred requests delays a flow with
+// one request by a single turn. Each operation takes constant time, except leaving
+// the queue, which scans it. There are no priorities.
 package upstream
 
 import (
@@ -19,33 +20,36 @@
 	"pomeloway.example/pomeloway/bundle"
 )
 
-// FlowID names the flow of a request for fairness.
+// FlowID identifies the flow of a request for fair queuing.
 type FlowID uint64
 
-// Errors of Gate.Acquire. None of them means that work was started.
+// Errors of Gate.Acquire and Gate.TryAcquire. No slot was taken.
 var (
 	ErrQueueFull = errors.New("upstream's queue is full")
 	ErrNoSlot    = errors.New("no slot is free")
 	ErrWait      = errors.New("no slot became free in time")
 )
 
-// Gate admits work to one upstream. Its zero value admits nothing until Limit.
+// Gate admits requests to one upstream. The zero value admits none until SetLimits
+// is called.
 type Gate struct {
 	mu        sync.Mutex
 	limits    bundle.Limits
 	allowance Allowance
 	running   int
 	waiting   int
-	turns     []FlowID
-	queues    map[FlowID][]*waiter
+	// roundRobin lists the flows with waiting requests in the order of service.
+	turns  []FlowID
+	queues map[FlowID][]*waiter
 }
 
+// waiter is a queued request. granted is closed when it gets a slot.
 type waiter struct {
 	flow    FlowID
 	granted chan struct{}
 }
 
-// Limit sets the upstream's limits. The first call starts it cold.
+// SetLimits sets the upstream's limits. The first call starts the upstream cold.
 func (g *Gate) Limit(l bundle.Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -55,7 +59,7 @@
 	g.grant()
 }
 
-// TryAcquire takes a slot if one is free now.
+// TryAcquire takes a slot if one is free and no request is waiting.
 func (g *Gate) TryAcquire() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -66,15 +70,15 @@
 	return nil
 }
 
-// AcquireAnyway takes a slot whether or not one is free. Only trials that show
-// what the gate guards against use it.
+// ForceAcquire takes a slot even if none is free. It is used only by tests that
+// disable the gate to show which failures it prevents.
 func (g *Gate) AcquireAnyway() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.running++
 }
 
-// Acquire waits for a slot in the flow's turn, until the context ends or wait
+// Acquire waits until the flow's turn gives it a slot, the context ends, or wait
 // has passed.
 func (g *Gate) Acquire(ctx context.Context, f FlowID, wait time.Duration) error {
 	w, err := g.enter(f)
@@ -94,7 +98,8 @@
 	return g.abandon(w, err)
 }
 
-// enter takes a slot at once, with a nil waiter, or a place in the queue.
+// acquireOrEnqueue takes a free slot and returns a nil waiter, or queues the
+// request and returns its waiter.
 func (g *Gate) enter(f FlowID) (*waiter, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -117,8 +122,9 @@
 	return w, nil
 }
 
-// abandon leaves the queue, unless the slot was granted at the same moment: the
-// grant then stands, since a slot given to nobody would be lost for good.
+// cancelWait removes the waiter from its queue and returns err. If the waiter was
+// granted a slot in the meantime, it keeps the slot and cancelWait returns nil,
+// since otherwise no request would release that slot.
 func (g *Gate) abandon(w *waiter, err error) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -136,7 +142,7 @@
 	return err
 }
 
-// grant gives free slots to the waiting; g.mu is held.
+// grantSlots gives free slots to waiting requests. g.mu must be held.
 func (g *Gate) grant() {
 	for len(g.turns) > 0 && g.running < g.allowance.Slots() {
 		f := g.turns[0]
@@ -156,17 +162,19 @@
 	}
 }
 
-// Answered learns from the time to the first byte of an answer, and reports whether
-// the upstream was found cold by it. It is left out where the time says nothing, as for
-// a long upload. The slot is held on.
+// RecordLatency updates the allowance with the time to first byte of a response,
+// and reports whether it found the upstream cold. It must not be called where that
+// time does not show the upstream's speed, as for a long upload. The request keeps
+// its slot.
 func (g *Gate) Answered(began time.Time, took time.Duration) (cold bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.allowance.learnTime(began, took)
 }
 
-// Release gives a slot back and learns from how the work ended. It reports
-// whether the upstream was found cold, or became fully warm, by it.
+// Release frees a slot and updates the allowance with the feedback of the request.
+// It reports whether it found the upstream cold, or whether the upstream became
+// fully warm.
 func (g *Gate) Release(s Sign) (cold, warm bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -176,17 +184,17 @@
 	return cold, warm
 }
 
-// Load is what a gate holds at a moment.
+// Load is a snapshot of the slots and requests of a gate.
 type Load struct {
 	Slots   int `json:"slots"`
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 }
 
-// Free returns how many slots nobody uses or waits for.
+// Free returns how many slots are left after all running and waiting requests.
 func (l Load) Free() int { return max(0, l.Slots-l.Running-l.Waiting) }
 
-// Load returns the gate's present load.
+// Load returns the gate's current load.
 func (g *Gate) Load() Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/upstream/linger.go
+++ b/upstream/linger.go
@@ -8,29 +8,33 @@
 	"time"
 )
 
-// An upstream finds out some time after its caller that a request was broken off, and
-// works on it until then. The end of its own side of the connection proves that it has
-// stopped: servers close a connection that their client has closed once its handler
-// returns. So a connection is closed in one direction first, and the slot of the
-// request is given back when the other direction ends. Over HTTP/2 requests share a
-// connection, each is reset by itself, and nothing proves its end: its slot is given
-// back after a while.
+// This file detects when an upstream stops working on an aborted request. The
+// upstream notices an abort with a delay, and the request occupies it until then.
+//
+// Over HTTP/1.1, the agent closes only its sending direction of the connection. A
+// server closes such a connection once its handler returns, so the end of the other
+// direction proves that the upstream has stopped, and the slot is released then.
+// Over HTTP/2, requests share a connection and each is reset separately. Nothing
+// proves that the upstream has stopped, so the slot is released after a delay.
 
-// lingerMost keeps a slot from being lost to an upstream that never closes.
+// lingerTimeout limits how long an upstream that never closes its side of a
+// connection can occupy a slot.
 const lingerMost = 5 * time.Second
 
-// resetSettle keeps the slot while a reset reaches the upstream and its handler stops.
+// streamResetDelay is how long the slot of a reset HTTP/2 request stays occupied, so
+// that the reset can reach the upstream and its handler can stop.
 const resetSettle = 250 * time.Millisecond
 
-// lingerConn is a connection whose Close waits in the background for the other side.
+// lingerConn is a connection whose Close waits in the background until the peer has
+// closed its side. closed is closed after that wait.
 type lingerConn struct {
 	*net.TCPConn
 	once  sync.Once
 	ended chan struct{}
 }
 
-// Close ends the sending direction, and both when the other side has ended or
-// lingerMost has passed.
+// Close closes the sending direction. It closes the whole connection in the
+// background when the peer has closed its side or lingerTimeout has passed.
 func (c *lingerConn) Close() error {
 	var err error
 	c.once.Do(func() {
@@ -40,15 +44,17 @@
 	return err
 }
 
+// drain discards incoming data until the peer closes its side or lingerTimeout has
+// passed, and closes the connection.
 func (c *lingerConn) drain() {
 	defer close(c.ended)
 	defer c.TCPConn.Close()
 	if c.SetReadDeadline(time.Now().Add(lingerMost)) == nil {
-		io.Copy(io.Discard, c.TCPConn) // its end is all that counts
+		io.Copy(io.Discard, c.TCPConn) // any error ends the wait, too
 	}
 }
 
-// lingering returns a dial function whose connections linger.
+// lingerDialer returns a dial function that returns lingerConns.
 func lingering(d *net.Dialer) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := d.DialContext(ctx, network, address)
@@ -63,11 +69,11 @@
 	}
 }
 
-// End calls a function when the upstream has stopped working on a request that was
-// broken off, as far as that can be known.
+// OnStop calls the given function in the background once the upstream has stopped
+// working on an aborted request, or is assumed to have stopped.
 type End func(func())
 
-// endOn returns the end of what was broken off on the connection.
+// onStopOn returns the OnStop of a request that was aborted on the connection.
 func endOn(c net.Conn) End {
 	l, ok := c.(*lingerConn)
 	if !ok {
@@ -81,7 +87,8 @@
 	}
 }
 
-// UnfinishedError says that a request was broken off while its upstream may work on it.
+// UnfinishedError is the error of a request that was aborted while the upstream may
+// still work on it. OnStop reports when the upstream has stopped.
 type UnfinishedError struct {
 	Err error
 	End End
@@ -89,5 +96,5 @@
 
 func (e *UnfinishedError) Error() string { return e.Err.Error() }
 
-// Unwrap returns why the request was broken off.
+// Unwrap returns the error that aborted the request.
 func (e *UnfinishedError) Unwrap() error { return e.Err }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -23,7 +23,7 @@
 	return bundle.Limits{Slots: slots, Connections: 10, Queue: 100, ColdStart: bundle.ColdStart{Slots: 1, Answers: 2}}
 }
 
-// warm brings a gate to its full slots by good answers.
+// warm raises a gate to all its slots by good responses.
 func warm(g *Gate) {
 	for range 64 {
 		if g.TryAcquire() == nil {
@@ -32,15 +32,15 @@
 	}
 }
 
-// endWell ends a piece of work well after the time.
+// endWell records a good response with the latency and releases the slot.
 func endWell(g *Gate, took time.Duration) (cold bool) {
 	cold = g.Answered(time.Time{}, took)
 	g.Release(Sign{Kind: SignGood})
 	return cold
 }
 
-// One trainer's program sends a hundred orders at once; a pony club sends one a
-// moment later. Served in order of arrival, the club would wait for all hundred.
+// One flow queues many requests, and another flow queues one shortly afterwards.
+// Served in order of arrival, the second flow would wait for all of them.
 func TestBusyFlowDelaysOthersByOneTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &Gate{}
@@ -69,14 +69,14 @@
 		g.Release(Sign{})
 		w.Wait()
 		if len(order) != 21 || order[1] != 2 {
-			t.Errorf("the second flow was not second: %v", order)
+			t.Errorf("the second flow was not served second: %v", order)
 		}
 	})
 }
 
-// A caller goes away, or its time ends, in the very moment in which its slot is
-// granted. If the grant were lost with the caller, the upstream would have a
-// slot less for good, until all are gone and every caller is refused.
+// A caller cancels or times out at the moment at which it is granted a slot. If
+// that slot were not released, the upstream would lose it permanently, until no
+// slots are left and every request is refused.
 func TestNoSlotIsLostWhenWaitersGiveUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &Gate{}
@@ -95,7 +95,7 @@
 		}
 		w.Wait()
 		if l := g.Load(); l.Running != 0 || l.Waiting != 0 || len(g.turns) != 0 || len(g.queues) != 0 {
-			t.Errorf("after everybody left: %+v, turns %v, queues %d", l, g.turns, len(g.queues))
+			t.Errorf("gate is not empty after all waiters left: %+v, flows %v, %d queues", l, g.turns, len(g.queues))
 		}
 	})
 }
@@ -114,16 +114,16 @@
 		synctest.Wait()
 		start := time.Now()
 		if err := g.Acquire(ctx, 2, time.Hour); !errors.Is(err, ErrQueueFull) || time.Since(start) > 0 {
-			t.Errorf("err = %v after %v", err, time.Since(start))
+			t.Errorf("full queue: err = %v after %v, want ErrQueueFull at once", err, time.Since(start))
 		}
 		stop()
 		synctest.Wait()
 	})
 }
 
-// An upstream is replaced and starts cold; it bears one request at a time and
-// falls over under five. Its load end point says that all is well, so only what
-// it answers may widen what it gets, and one bad sign takes it back.
+// A replaced upstream starts cold: it can run one request at a time and fails under
+// five. Its load endpoint reports no problem, so only its responses may raise the
+// allowance, and one bad result must set it back to the start.
 func TestAllowanceGrowsWithAnswersOnly(t *testing.T) {
 	g := &Gate{}
 	g.Limit(limits(8))
@@ -136,7 +136,7 @@
 		endWell(g, 10*time.Millisecond)
 	}
 	if fmt.Sprint(seen) != "[1 1 2 2 4 4 8 8]" {
-		t.Errorf("slots grew as %v", seen)
+		t.Errorf("slots grew as %v, want [1 1 2 2 4 4 8 8]", seen)
 	}
 	slow := func() bool { return endWell(g, time.Second) }
 	usual := func() bool { return endWell(g, 10*time.Millisecond) }
@@ -152,10 +152,10 @@
 		signs []func() bool
 		cold  bool
 	}{
-		"refused or failed":     {[]func() bool{bad}, true},
-		"slow three times":      {[]func() bool{slow, slow, slow}, true},
-		"one slow page":         {[]func() bool{slow, usual, slow, usual, slow}, false},
-		"callers who went away": {[]func() bool{left, left, left, left}, false},
+		"refused or failed":             {[]func() bool{bad}, true},
+		"three slow responses in a row": {[]func() bool{slow, slow, slow}, true},
+		"slow responses not in a row":   {[]func() bool{slow, usual, slow, usual, slow}, false},
+		"requests canceled by callers":  {[]func() bool{left, left, left, left}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			warm(g)
@@ -165,15 +165,15 @@
 				found = s() || found
 			}
 			if found != x.cold || (g.Load().Slots == 1) != x.cold {
-				t.Errorf("found cold %t, slots %d", found, g.Load().Slots)
+				t.Errorf("found cold = %t, slots = %d", found, g.Load().Slots)
 			}
 		})
 	}
 }
 
-// An upstream turns cold with five requests under way. They end well; taken for
-// answers of the cold upstream they would double what it gets at once, and it
-// would fall over.
+// An upstream turns cold while five requests are in flight, which then end well. If
+// they counted as responses of the cold upstream, the allowance would double at
+// once and overload it.
 func TestAnswersFromBeforeAColdStartSayNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &Gate{}
@@ -189,7 +189,7 @@
 			g.Release(Sign{Kind: SignGood, Began: before})
 		}
 		if n := g.Load().Slots; n != 1 {
-			t.Errorf("the cold upstream may have %d pieces of work", n)
+			t.Errorf("cold upstream has %d slots, want 1", n)
 		}
 		for range 2 {
 			time.Sleep(time.Second)
@@ -197,11 +197,12 @@
 			g.Release(Sign{Kind: SignGood, Began: time.Now()})
 		}
 		if n := g.Load().Slots; n != 2 {
-			t.Errorf("after two answers of its own it may have %d", n)
+			t.Errorf("%d slots after two good responses of the cold upstream, want 2", n)
 		}
 	})
 }
 
+// serveUpstream starts an upstream with the handler and returns a client for it.
 func serveUpstream(t *testing.T, p Protocol, h http.HandlerFunc) *Client {
 	t.Helper()
 	s := httptest.NewUnstartedServer(h)
@@ -212,7 +213,7 @@
 	return c
 }
 
-// overBoth runs the test over each protocol that upstreams may speak.
+// overBoth runs the test for each protocol of upstreams.
 func overBoth(t *testing.T, f func(*testing.T, Protocol)) {
 	for _, p := range []Protocol{ProtocolHTTP1, ProtocolH2C} {
 		t.Run(string(p), func(t *testing.T) { f(t, p) })
@@ -227,8 +228,8 @@
 	return r
 }
 
-// Two hundred callers on one shared connection read nothing of their long
-// answers: screens of people who walked away. A feed beside them must go on.
+// Two hundred callers that share one connection stop reading their long responses.
+// A feed on the same connection must continue to receive data.
 func TestCallersThatReadNothingStopNobody(t *testing.T) {
 	c := serveUpstream(t, ProtocolH2C, func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil {
@@ -252,13 +253,13 @@
 	}
 	defer a.Body.Close()
 	if n, err := io.CopyN(io.Discard, a.Body, 8<<20); err != nil {
-		t.Errorf("the reader got %d bytes: %v", n, err)
+		t.Errorf("the reading caller received %d bytes: %v", n, err)
 	}
 }
 
-// An order carries an idempotency key. The upstream reads it, runs it and drops
-// the connection without an answer. net/http's transport takes the key's header
-// as leave to send the order again by itself: the horse feed is delivered twice.
+// The upstream runs an order with an idempotency key and closes the connection
+// without a response. net/http's transport resends requests that have an
+// idempotency header, so the order would run twice.
 func TestOrderIsNotSentAgainByTheTransport(t *testing.T) {
 	overBoth(t, func(t *testing.T, p Protocol) {
 		var runs atomic.Int32
@@ -273,21 +274,22 @@
 			t.Fatal(err)
 		}
 		io.Copy(io.Discard, a.Body)
-		a.Body.Close() // the connection is kept, and used for the order
+		a.Body.Close() // the order reuses the connection
 		r := newRequest(t, http.MethodPost, "/order", "")
 		r.Body = http.NoBody
 		r.Header.Set("Idempotency-Key", "k")
 		if _, err := c.Do(r, "order"); err == nil || errors.Is(err, ErrNotRun) {
-			t.Errorf("err = %v; the outcome is unknown", err)
+			t.Errorf("err = %v, want an error other than ErrNotRun", err)
 		}
 		if runs.Load() != 1 {
-			t.Errorf("the order was run %d times", runs.Load())
+			t.Errorf("the order ran %d times, want 1", runs.Load())
 		}
 	})
 }
 
-// The upstream's process is gone. The request never left, so the caller may be
-// told "not run", and the request may be sent to another upstream.
+// The upstream process is down and the connection is refused. The request was not
+// sent, so the client must return ErrNotRun: the caller may be told that the
+// request was not run, and the request may be sent to another upstream.
 func TestRefusedConnectionProvesNotRun(t *testing.T) {
 	overBoth(t, func(t *testing.T, p Protocol) {
 		s := httptest.NewServer(nil)
@@ -296,13 +298,13 @@
 		c := NewClient(a, p)
 		defer c.Close()
 		if _, err := c.Do(newRequest(t, http.MethodPost, "/order", "x"), "1"); !errors.Is(err, ErrNotRun) {
-			t.Errorf("err = %v, want not run", err)
+			t.Errorf("err = %v, want ErrNotRun", err)
 		}
 	})
 }
 
-// The upstream mixes up two answers: each comes on the other's connection. One
-// pupil's teacher would read another class's letters.
+// The upstream mixes up two responses and sends each on the connection of the other
+// request. Without the check of the ID, each caller would read the other's data.
 func TestCrossedAnswersReachTheirOwnRequests(t *testing.T) {
 	overBoth(t, func(t *testing.T, p Protocol) {
 		type held struct {
@@ -335,19 +337,20 @@
 				}
 				defer a.Body.Close()
 				if b, _ := io.ReadAll(a.Body); string(b) != path {
-					t.Errorf("%s got the answer of %s", path, b)
+					t.Errorf("request %s received the response to %s", path, b)
 				}
 			})
 		}
 		w.Wait()
 		if c.Crossed.Load() != 2 {
-			t.Errorf("crossed answers handed over: %d", c.Crossed.Load())
+			t.Errorf("%d crossed responses were delivered, want 2", c.Crossed.Load())
 		}
 	})
 }
 
-// An answer carries the id of a request of the upstream's earlier life. Nobody
-// waits for it: it must be dropped, not given to the caller at hand.
+// A response carries the ID of a request from before the upstream's restart, which
+// no request is waiting for. It must be dropped, not returned for the request on
+// whose connection it arrived.
 func TestAnswerToNobodyIsDropped(t *testing.T) {
 	overBoth(t, func(t *testing.T, p Protocol) {
 		c := serveUpstream(t, p, func(w http.ResponseWriter, r *http.Request) {
@@ -360,10 +363,10 @@
 		a, err := c.Do(newRequest(t, http.MethodGet, "/", "").WithContext(ctx), "mine")
 		if err == nil {
 			a.Body.Close()
-			t.Fatal("a foreign answer was delivered")
+			t.Fatal("the response to another request was returned")
 		}
 		if c.Dropped.Load() != 1 {
-			t.Errorf("dropped %d answers", c.Dropped.Load())
+			t.Errorf("dropped %d responses, want 1", c.Dropped.Load())
 		}
 	})
 }
@@ -377,17 +380,18 @@
 	for _, line := range []string{"first", " second"} {
 		io.WriteString(w, line)
 		if s := <-flushed; !strings.HasSuffix(s, line) {
-			t.Errorf("after %q the caller has %q", line, s)
+			t.Errorf("after %q was sent, the caller has received %q", line, s)
 		}
 	}
 	w.CloseWithError(errors.New("cut"))
 	if err := <-done; err == nil {
-		t.Error("a cut answer ended as a whole one")
+		t.Error("no error after the response was cut off")
 	}
 }
 
-// A caller's body turns out to be longer than allowed while it is sent on. What
-// ended it must be told from a failing upstream, which would be held for cold.
+// While a request is forwarded, its body exceeds the allowed length. The error must
+// be distinguishable from that of a failed upstream, which would be considered
+// cold.
 func TestErrorOfTheCallersBodyIsKept(t *testing.T) {
 	overBoth(t, func(t *testing.T, p Protocol) {
 		c := serveUpstream(t, p, func(_ http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
@@ -397,7 +401,7 @@
 		_, err := c.Do(r, "1")
 		var long *http.MaxBytesError
 		if !errors.As(err, &long) {
-			t.Errorf("err = %v", err)
+			t.Errorf("err = %v, want *http.MaxBytesError", err)
 		}
 	})
 }
