--- a/upstream/allowance.go
+++ b/upstream/allowance.go
@@ -42,14 +42,14 @@
 	// latency. Only slowStreak slow responses in a row mark the upstream as cold,
 	// since a single one may be a page that is rarely requested.
 	slowFactor = 4
-	slowRun    = 3
+	slowStreak = 3
 	// minSlowLatency keeps jitter of very fast responses from counting as slow.
-	slowLeast = 20 * time.Millisecond
+	minSlowLatency = 20 * time.Millisecond
 	// The baseline moves towards a faster response by a quarter of the difference
 	// and towards a slower one by a sixty-fourth. It thus stays near the fast
 	// responses, and a slow phase of another cause does not hide a cold start.
-	usualDown = 4
-	usualUp   = 64
+	fasterDivisor = 4
+	slowerDivisor = 64
 )
 
 // Allowance is the adaptive concurrency limit of an upstream.
@@ -60,15 +60,15 @@
 	// good counts the good responses since the last doubling.
 	good int
 	// baseline is a moving average of the time to first byte.
-	usual time.Duration
+	baseline time.Duration
 	// slow counts the slow responses in a row.
 	slow int
 	// coldSince is when the last cold start was detected.
-	fell time.Time
+	coldSince time.Time
 }
 
 // setLimits sets the limits. The first call starts the upstream cold.
-func (a *Allowance) limit(l bundle.Limits, first bool) {
+func (a *Allowance) setLimits(l bundle.Limits, first bool) {
 	a.limits = l
 	if first {
 		a.allowed = l.ColdStart.Slots
@@ -85,28 +85,28 @@
 // recordLatency updates the allowance with a response's time to first byte, and
 // reports whether it found the upstream cold. It is called before the request
 // ends, since the response may take long to reach its caller.
-func (a *Allowance) learnTime(began time.Time, took time.Duration) (cold bool) {
+func (a *Allowance) recordLatency(began time.Time, took time.Duration) (cold bool) {
 	switch {
-	case a.isOld(began):
+	case a.precedesColdStart(began):
 		return false
-	case a.isSlow(took):
-		return a.fall()
+	case a.addLatency(took):
+		return a.resetToCold()
 	}
-	a.remember(took)
+	a.updateBaseline(took)
 	return false
 }
 
 // precedesColdStart reports whether a request that began at the time began before
 // the last cold start. Such requests may still end well and fast; counted as good
 // responses of the cold upstream, they would raise the allowance at once.
-func (a *Allowance) isOld(began time.Time) bool {
-	return !began.IsZero() && began.Before(a.fell)
+func (a *Allowance) precedesColdStart(began time.Time) bool {
+	return !began.IsZero() && began.Before(a.coldSince)
 }
 
 // resetToCold sets the allowance to the cold-start slots and reports whether it
 // was higher.
-func (a *Allowance) fall() (cold bool) {
-	a.slow, a.fell = 0, time.Now()
+func (a *Allowance) resetToCold() (cold bool) {
+	a.slow, a.coldSince = 0, time.Now()
 	cold = a.allowed > a.limits.ColdStart.Slots
 	a.allowed, a.good = min(a.limits.ColdStart.Slots, a.limits.Slots), 0
 	return cold
@@ -114,12 +114,12 @@
 
 // applyFeedback updates the allowance when a request has ended. It reports whether
 // it found the upstream cold, or whether the upstream became fully warm.
-func (a *Allowance) learn(s Sign) (cold, warm bool) {
+func (a *Allowance) applyFeedback(s Sign) (cold, warm bool) {
 	switch {
-	case a.isOld(s.Began), s.Kind == SignNone:
+	case a.precedesColdStart(s.Began), s.Kind == SignNone:
 		return false, false
 	case s.Kind == SignBad:
-		return a.fall(), false
+		return a.resetToCold(), false
 	}
 	if a.Warm() {
 		return false, false
@@ -135,25 +135,25 @@
 
 // addLatency counts slow responses in a row and reports whether there were at
 // least slowStreak.
-func (a *Allowance) isSlow(d time.Duration) bool {
+func (a *Allowance) addLatency(d time.Duration) bool {
 	switch {
-	case a.usual == 0:
-	case d > max(a.usual*slowFactor, slowLeast):
+	case a.baseline == 0:
+	case d > max(a.baseline*slowFactor, minSlowLatency):
 		a.slow++
 	default:
 		a.slow = 0
 	}
-	return a.slow >= slowRun
+	return a.slow >= slowStreak
 }
 
 // updateBaseline moves the baseline towards the latency of a response.
-func (a *Allowance) remember(d time.Duration) {
+func (a *Allowance) updateBaseline(d time.Duration) {
 	switch {
-	case a.usual == 0:
-		a.usual = d
-	case d < a.usual:
-		a.usual += (d - a.usual) / usualDown
+	case a.baseline == 0:
+		a.baseline = d
+	case d < a.baseline:
+		a.baseline += (d - a.baseline) / fasterDivisor
 	default:
-		a.usual += (d - a.usual) / usualUp
+		a.baseline += (d - a.baseline) / slowerDivisor
 	}
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -30,16 +30,16 @@
 var (
 	ErrNotRun   = errors.New("request did not reach the upstream")
 	ErrMismatch = errors.New("upstream's answer was to another request")
-	errTaken    = errors.New("request's id is in use")
+	errIDInUse  = errors.New("request's id is in use")
 )
 
 // Limits of the HTTP transport.
 const (
-	dialTimeout   = 2 * time.Second
-	idleMost      = 64
-	idleFor       = 30 * time.Second
-	headerMost    = 64 << 10
-	expectTimeout = time.Second
+	dialTimeout     = 2 * time.Second
+	maxIdleConns    = 64
+	idleTimeout     = 30 * time.Second
+	maxHeaderBytes  = 64 << 10
+	continueTimeout = time.Second
 )
 
 // Client sends requests to the upstream over HTTP and matches its responses to
@@ -56,7 +56,7 @@
 	tr      http.RoundTripper
 
 	mu      sync.Mutex
-	waiting map[RequestID]chan *http.Response
+	pending map[RequestID]chan *http.Response
 }
 
 // Protocol is the HTTP version that an upstream supports.
@@ -77,25 +77,25 @@
 // A caller that does not read fills the window of its stream. If the connection's
 // window were only a few times larger, a few such callers would block the feeds of
 // all others on that connection, and their display boards would stop updating.
-const streamBuffer = 64 << 10
+const streamBufferSize = 64 << 10
 
 // HTTP/2 pings detect an upstream that stopped responding on a connection that many
 // feeds share. A ping is sent after pingIdleTimeout without a received frame and
 // must be acknowledged within pingTimeout.
 const (
-	pingAfter = 5 * time.Second
-	pingWait  = 5 * time.Second
+	pingIdleTimeout = 5 * time.Second
+	pingTimeout     = 5 * time.Second
 )
 
 // configure sets up the transport for the protocol.
-func (p Protocol) set(t *http.Transport, d *net.Dialer) {
+func (p Protocol) configure(t *http.Transport, d *net.Dialer) {
 	if p != ProtocolH2C {
-		t.DialContext = lingering(d)
+		t.DialContext = lingerDialer(d)
 		return
 	}
 	t.Protocols = &http.Protocols{}
 	t.Protocols.SetUnencryptedHTTP2(true)
-	t.HTTP2 = &http.HTTP2Config{MaxReceiveBufferPerStream: streamBuffer, SendPingTimeout: pingAfter, PingTimeout: pingWait}
+	t.HTTP2 = &http.HTTP2Config{MaxReceiveBufferPerStream: streamBufferSize, SendPingTimeout: pingIdleTimeout, PingTimeout: pingTimeout}
 }
 
 // NewClient returns a client for the upstream at the address.
@@ -106,13 +106,13 @@
 	d := net.Dialer{Timeout: dialTimeout}
 	t := &http.Transport{
 		DialContext:            d.DialContext,
-		MaxIdleConnsPerHost:    idleMost,
-		IdleConnTimeout:        idleFor,
-		MaxResponseHeaderBytes: headerMost,
-		ExpectContinueTimeout:  expectTimeout,
+		MaxIdleConnsPerHost:    maxIdleConns,
+		IdleConnTimeout:        idleTimeout,
+		MaxResponseHeaderBytes: maxHeaderBytes,
+		ExpectContinueTimeout:  continueTimeout,
 		DisableCompression:     true,
 	}
-	p.set(t, &d)
+	p.configure(t, &d)
 	return t
 }
 
@@ -120,7 +120,7 @@
 // transport of net/http, it must call the GotConn hook of httptrace: a request that
 // fails before GotConn counts as not run.
 func NewClientOver(a netip.AddrPort, tr http.RoundTripper) *Client {
-	return &Client{address: a, tr: tr, waiting: map[RequestID]chan *http.Response{}}
+	return &Client{address: a, tr: tr, pending: map[RequestID]chan *http.Response{}}
 }
 
 // Close closes idle connections.
@@ -131,7 +131,7 @@
 }
 
 // maxHealthBody limits how much of a health response is read, in bytes.
-const maxHealth = 4 << 10
+const maxHealthBody = 4 << 10
 
 // Health requests the path from the upstream and returns the HTTP status.
 func (c *Client) Health(ctx context.Context, path string) (int, error) {
@@ -144,7 +144,7 @@
 		return 0, eris.Wrap(err, "health")
 	}
 	defer a.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(a.Body, maxHealth)) // lets the transport reuse the connection
+	io.Copy(io.Discard, io.LimitReader(a.Body, maxHealthBody)) // lets the transport reuse the connection
 	return a.StatusCode, nil
 }
 
@@ -160,11 +160,11 @@
 // header. Without it, the transport resends a POST only if no byte of it was
 // written.
 func (c *Client) Do(r *http.Request, id RequestID) (*http.Response, error) {
-	ch, err := c.expect(id)
+	ch, err := c.register(id)
 	if err != nil {
 		return nil, err
 	}
-	defer c.forget(id)
+	defer c.unregister(id)
 	for _, h := range idempotencyHeaders {
 		r.Header.Del(h)
 	}
@@ -182,7 +182,7 @@
 
 // exchange makes the round trip. The response may belong to another request, so
 // it can be detached from the context of r to outlive it.
-func (c *Client) exchange(r *http.Request) (*answer, error) {
+func (c *Client) exchange(r *http.Request) (*detachableResponse, error) {
 	var used atomic.Pointer[httptrace.GotConnInfo]
 	ctx, cancel := context.WithCancel(context.WithoutCancel(r.Context()))
 	detach := context.AfterFunc(r.Context(), cancel)
@@ -195,19 +195,19 @@
 		if conn == nil {
 			return nil, eris.Wrap(ErrNotRun, err.Error())
 		}
-		return nil, &UnfinishedError{err, endOn(conn.Conn)}
+		return nil, &UnfinishedError{err, onStopOn(conn.Conn)}
 	}
 	b := &body{ReadCloser: a.Body, cancel: cancel}
 	if conn != nil {
 		b.conn = conn.Conn
 	}
 	a.Body = b
-	return &answer{Response: a, detach: detach}, nil
+	return &detachableResponse{Response: a, detach: detach}, nil
 }
 
 // detachableResponse is a response with a function that detaches it from the
 // context of the request on whose connection it arrived.
-type answer struct {
+type detachableResponse struct {
 	*http.Response
 	detach func() bool
 }
@@ -218,24 +218,24 @@
 	cancel context.CancelFunc
 	conn   net.Conn
 	// complete is set once the body was read to its end.
-	whole bool
+	complete bool
 }
 
 // Read reads from the response body and records when its end is reached.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.whole = b.whole || err == io.EOF
+	b.complete = b.complete || err == io.EOF
 	return n, err
 }
 
 // OnStopOf returns the OnStop of the request with the closed response body. It
 // returns nil if the body was read to its end: the upstream has then stopped.
-func EndOf(answer io.ReadCloser) End {
-	b, ok := answer.(*body)
-	if !ok || b.whole {
+func EndOf(response io.ReadCloser) End {
+	b, ok := response.(*body)
+	if !ok || b.complete {
 		return nil
 	}
-	return endOn(b.conn)
+	return onStopOn(b.conn)
 }
 
 // Close closes the body and cancels the exchange if it still runs.
@@ -246,23 +246,23 @@
 
 // register returns the channel on which a response with the ID is delivered if it
 // arrives on another request's connection.
-func (c *Client) expect(id RequestID) (chan *http.Response, error) {
+func (c *Client) register(id RequestID) (chan *http.Response, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, ok := c.waiting[id]; ok {
-		return nil, eris.Wrap(ErrNotRun, errTaken.Error())
+	if _, ok := c.pending[id]; ok {
+		return nil, eris.Wrap(ErrNotRun, errIDInUse.Error())
 	}
 	ch := make(chan *http.Response, 1)
-	c.waiting[id] = ch
+	c.pending[id] = ch
 	return ch, nil
 }
 
 // unregister ends the wait for the ID and drops a response that was delivered but
 // not received.
-func (c *Client) forget(id RequestID) {
+func (c *Client) unregister(id RequestID) {
 	c.mu.Lock()
-	ch := c.waiting[id]
-	delete(c.waiting, id)
+	ch := c.pending[id]
+	delete(c.pending, id)
 	c.mu.Unlock()
 	select {
 	case a := <-ch:
@@ -279,7 +279,7 @@
 
 // crossedTimeout is how long a request waits for its own response after that of
 // another request arrived on its connection.
-const crossWait = 2 * time.Second
+const crossedTimeout = 2 * time.Second
 
 // match returns the response to the request with the ID.
 //
@@ -287,13 +287,13 @@
 // another. The ID in the response detects this: a response to another pending
 // request is delivered to that request, any other response is dropped, and this
 // request waits for its own.
-func (c *Client) match(ctx context.Context, a *answer, id RequestID, own chan *http.Response) (*http.Response, error) {
+func (c *Client) match(ctx context.Context, a *detachableResponse, id RequestID, own chan *http.Response) (*http.Response, error) {
 	if !c.CheckID.Load() || RequestID(a.Header.Get(HeaderRequest)) == id {
 		return a.Response, nil
 	}
 	a.detach()
-	c.handOver(a.Response)
-	t := time.NewTimer(crossWait)
+	c.deliver(a.Response)
+	t := time.NewTimer(crossedTimeout)
 	defer t.Stop()
 	select {
 	case a := <-own:
@@ -306,9 +306,9 @@
 }
 
 // deliver passes the response to the pending request with its ID, or drops it.
-func (c *Client) handOver(a *http.Response) {
+func (c *Client) deliver(a *http.Response) {
 	c.mu.Lock()
-	ch, ok := c.waiting[RequestID(a.Header.Get(HeaderRequest))]
+	ch, ok := c.pending[RequestID(a.Header.Get(HeaderRequest))]
 	if ok {
 		select {
 		case ch <- a:
@@ -327,13 +327,13 @@
 // Sizes of the buffers that Stream reads into, independent of the body's length. A
 // feed that is idle holds a small one.
 const (
-	smallCopy = 2 << 10
-	largeCopy = 32 << 10
+	smallBufferSize = 2 << 10
+	largeBufferSize = 32 << 10
 )
 
 var (
-	smallBuffers = sync.Pool{New: func() any { b := make([]byte, smallCopy); return &b }}
-	largeBuffers = sync.Pool{New: func() any { b := make([]byte, largeCopy); return &b }}
+	smallBuffers = sync.Pool{New: func() any { b := make([]byte, smallBufferSize); return &b }}
+	largeBuffers = sync.Pool{New: func() any { b := make([]byte, largeBufferSize); return &b }}
 )
 
 // Stream copies body to w and flushes after each read, so that data of a feed
@@ -344,7 +344,7 @@
 	for {
 		b := pool.Get().(*[]byte)
 		n, err := body.Read(*b)
-		werr := forward(w, flush, (*b)[:n])
+		werr := writeAndFlush(w, flush, (*b)[:n])
 		full := n == len(*b)
 		pool.Put(b)
 		switch {
@@ -363,7 +363,7 @@
 }
 
 // writeAndFlush writes p to w and flushes it. An empty p is skipped.
-func forward(w io.Writer, flush func() error, p []byte) error {
+func writeAndFlush(w io.Writer, flush func() error, p []byte) error {
 	if len(p) == 0 {
 		return nil
 	}
--- a/upstream/gate.go
+++ b/upstream/gate.go
@@ -39,8 +39,8 @@
 	running   int
 	waiting   int
 	// roundRobin lists the flows with waiting requests in the order of service.
-	turns  []FlowID
-	queues map[FlowID][]*waiter
+	roundRobin []FlowID
+	queues     map[FlowID][]*waiter
 }
 
 // waiter is a queued request. granted is closed when it gets a slot.
@@ -55,8 +55,8 @@
 	defer g.mu.Unlock()
 	first := g.limits.Slots == 0
 	g.limits = l
-	g.allowance.limit(l, first)
-	g.grant()
+	g.allowance.setLimits(l, first)
+	g.grantSlots()
 }
 
 // TryAcquire takes a slot if one is free and no request is waiting.
@@ -81,7 +81,7 @@
 // Acquire waits until the flow's turn gives it a slot, the context ends, or wait
 // has passed.
 func (g *Gate) Acquire(ctx context.Context, f FlowID, wait time.Duration) error {
-	w, err := g.enter(f)
+	w, err := g.acquireOrEnqueue(f)
 	if err != nil || w == nil {
 		return err
 	}
@@ -95,12 +95,12 @@
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
-	return g.abandon(w, err)
+	return g.cancelWait(w, err)
 }
 
 // acquireOrEnqueue takes a free slot and returns a nil waiter, or queues the
 // request and returns its waiter.
-func (g *Gate) enter(f FlowID) (*waiter, error) {
+func (g *Gate) acquireOrEnqueue(f FlowID) (*waiter, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.waiting == 0 && g.running < g.allowance.Slots() {
@@ -115,7 +115,7 @@
 		g.queues = map[FlowID][]*waiter{}
 	}
 	if len(g.queues[f]) == 0 {
-		g.turns = append(g.turns, f)
+		g.roundRobin = append(g.roundRobin, f)
 	}
 	g.queues[f] = append(g.queues[f], w)
 	g.waiting++
@@ -125,7 +125,7 @@
 // cancelWait removes the waiter from its queue and returns err. If the waiter was
 // granted a slot in the meantime, it keeps the slot and cancelWait returns nil,
 // since otherwise no request would release that slot.
-func (g *Gate) abandon(w *waiter, err error) error {
+func (g *Gate) cancelWait(w *waiter, err error) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
@@ -137,16 +137,16 @@
 	g.queues[w.flow] = slices.DeleteFunc(g.queues[w.flow], func(o *waiter) bool { return o == w })
 	if len(g.queues[w.flow]) == 0 {
 		delete(g.queues, w.flow)
-		g.turns = slices.DeleteFunc(g.turns, func(f FlowID) bool { return f == w.flow })
+		g.roundRobin = slices.DeleteFunc(g.roundRobin, func(f FlowID) bool { return f == w.flow })
 	}
 	return err
 }
 
 // grantSlots gives free slots to waiting requests. g.mu must be held.
-func (g *Gate) grant() {
-	for len(g.turns) > 0 && g.running < g.allowance.Slots() {
-		f := g.turns[0]
-		g.turns = g.turns[1:]
+func (g *Gate) grantSlots() {
+	for len(g.roundRobin) > 0 && g.running < g.allowance.Slots() {
+		f := g.roundRobin[0]
+		g.roundRobin = g.roundRobin[1:]
 		q := g.queues[f]
 		w := q[0]
 		q = q[1:]
@@ -154,7 +154,7 @@
 			delete(g.queues, f)
 		} else {
 			g.queues[f] = q
-			g.turns = append(g.turns, f)
+			g.roundRobin = append(g.roundRobin, f)
 		}
 		g.waiting--
 		g.running++
@@ -169,7 +169,7 @@
 func (g *Gate) Answered(began time.Time, took time.Duration) (cold bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.allowance.learnTime(began, took)
+	return g.allowance.recordLatency(began, took)
 }
 
 // Release frees a slot and updates the allowance with the feedback of the request.
@@ -179,8 +179,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.running--
-	cold, warm = g.allowance.learn(s)
-	g.grant()
+	cold, warm = g.allowance.applyFeedback(s)
+	g.grantSlots()
 	return cold, warm
 }
 
--- a/upstream/linger.go
+++ b/upstream/linger.go
@@ -19,18 +19,18 @@
 
 // lingerTimeout limits how long an upstream that never closes its side of a
 // connection can occupy a slot.
-const lingerMost = 5 * time.Second
+const lingerTimeout = 5 * time.Second
 
 // streamResetDelay is how long the slot of a reset HTTP/2 request stays occupied, so
 // that the reset can reach the upstream and its handler can stop.
-const resetSettle = 250 * time.Millisecond
+const streamResetDelay = 250 * time.Millisecond
 
 // lingerConn is a connection whose Close waits in the background until the peer has
 // closed its side. closed is closed after that wait.
 type lingerConn struct {
 	*net.TCPConn
-	once  sync.Once
-	ended chan struct{}
+	once   sync.Once
+	closed chan struct{}
 }
 
 // Close closes the sending direction. It closes the whole connection in the
@@ -47,15 +47,15 @@
 // drain discards incoming data until the peer closes its side or lingerTimeout has
 // passed, and closes the connection.
 func (c *lingerConn) drain() {
-	defer close(c.ended)
+	defer close(c.closed)
 	defer c.TCPConn.Close()
-	if c.SetReadDeadline(time.Now().Add(lingerMost)) == nil {
+	if c.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
 		io.Copy(io.Discard, c.TCPConn) // any error ends the wait, too
 	}
 }
 
 // lingerDialer returns a dial function that returns lingerConns.
-func lingering(d *net.Dialer) func(context.Context, string, string) (net.Conn, error) {
+func lingerDialer(d *net.Dialer) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := d.DialContext(ctx, network, address)
 		if err != nil {
@@ -65,7 +65,7 @@
 		if !ok {
 			return c, nil
 		}
-		return &lingerConn{TCPConn: t, ended: make(chan struct{})}, nil
+		return &lingerConn{TCPConn: t, closed: make(chan struct{})}, nil
 	}
 }
 
@@ -74,14 +74,14 @@
 type End func(func())
 
 // onStopOn returns the OnStop of a request that was aborted on the connection.
-func endOn(c net.Conn) End {
+func onStopOn(c net.Conn) End {
 	l, ok := c.(*lingerConn)
 	if !ok {
-		return func(f func()) { time.AfterFunc(resetSettle, f) }
+		return func(f func()) { time.AfterFunc(streamResetDelay, f) }
 	}
 	return func(f func()) {
 		go func() {
-			<-l.ended
+			<-l.closed
 			f()
 		}()
 	}
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -23,17 +23,17 @@
 	return bundle.Limits{Slots: slots, Connections: 10, Queue: 100, ColdStart: bundle.ColdStart{Slots: 1, Answers: 2}}
 }
 
-// warm raises a gate to all its slots by good responses.
-func warm(g *Gate) {
+// warmUp raises a gate to all its slots by good responses.
+func warmUp(g *Gate) {
 	for range 64 {
 		if g.TryAcquire() == nil {
-			endWell(g, 10*time.Millisecond)
+			releaseGood(g, 10*time.Millisecond)
 		}
 	}
 }
 
-// endWell records a good response with the latency and releases the slot.
-func endWell(g *Gate, took time.Duration) (cold bool) {
+// releaseGood records a good response with the latency and releases the slot.
+func releaseGood(g *Gate, took time.Duration) (cold bool) {
 	cold = g.Answered(time.Time{}, took)
 	g.Release(Sign{Kind: SignGood})
 	return cold
@@ -81,7 +81,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := &Gate{}
 		g.Limit(limits(3))
-		warm(g)
+		warmUp(g)
 		var w sync.WaitGroup
 		for i := range 300 {
 			w.Go(func() {
@@ -94,8 +94,8 @@
 			})
 		}
 		w.Wait()
-		if l := g.Load(); l.Running != 0 || l.Waiting != 0 || len(g.turns) != 0 || len(g.queues) != 0 {
-			t.Errorf("gate is not empty after all waiters left: %+v, flows %v, %d queues", l, g.turns, len(g.queues))
+		if l := g.Load(); l.Running != 0 || l.Waiting != 0 || len(g.roundRobin) != 0 || len(g.queues) != 0 {
+			t.Errorf("gate is not empty after all waiters left: %+v, flows %v, %d queues", l, g.roundRobin, len(g.queues))
 		}
 	})
 }
@@ -133,18 +133,18 @@
 		if err := g.TryAcquire(); err != nil {
 			t.Fatal(err)
 		}
-		endWell(g, 10*time.Millisecond)
+		releaseGood(g, 10*time.Millisecond)
 	}
 	if fmt.Sprint(seen) != "[1 1 2 2 4 4 8 8]" {
 		t.Errorf("slots grew as %v, want [1 1 2 2 4 4 8 8]", seen)
 	}
-	slow := func() bool { return endWell(g, time.Second) }
-	usual := func() bool { return endWell(g, 10*time.Millisecond) }
+	slow := func() bool { return releaseGood(g, time.Second) }
+	fast := func() bool { return releaseGood(g, 10*time.Millisecond) }
 	bad := func() bool {
 		cold, _ := g.Release(Sign{Kind: SignBad})
 		return cold
 	}
-	left := func() bool {
+	canceled := func() bool {
 		cold, _ := g.Release(Sign{})
 		return cold
 	}
@@ -154,11 +154,11 @@
 	}{
 		"refused or failed":             {[]func() bool{bad}, true},
 		"three slow responses in a row": {[]func() bool{slow, slow, slow}, true},
-		"slow responses not in a row":   {[]func() bool{slow, usual, slow, usual, slow}, false},
-		"requests canceled by callers":  {[]func() bool{left, left, left, left}, false},
+		"slow responses not in a row":   {[]func() bool{slow, fast, slow, fast, slow}, false},
+		"requests canceled by callers":  {[]func() bool{canceled, canceled, canceled, canceled}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			warm(g)
+			warmUp(g)
 			found := false
 			for _, s := range x.signs {
 				g.TryAcquire()
@@ -178,7 +178,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := &Gate{}
 		g.Limit(limits(8))
-		warm(g)
+		warmUp(g)
 		before := time.Now()
 		for range 6 {
 			g.TryAcquire()
@@ -213,8 +213,8 @@
 	return c
 }
 
-// overBoth runs the test for each protocol of upstreams.
-func overBoth(t *testing.T, f func(*testing.T, Protocol)) {
+// forEachProtocol runs the test for each protocol of upstreams.
+func forEachProtocol(t *testing.T, f func(*testing.T, Protocol)) {
 	for _, p := range []Protocol{ProtocolHTTP1, ProtocolH2C} {
 		t.Run(string(p), func(t *testing.T) { f(t, p) })
 	}
@@ -241,7 +241,7 @@
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
 	for i := range 200 {
-		a, err := c.Do(newRequest(t, http.MethodGet, "/", "").WithContext(ctx), RequestID(fmt.Sprint("deaf-", i)))
+		a, err := c.Do(newRequest(t, http.MethodGet, "/", "").WithContext(ctx), RequestID(fmt.Sprint("stalled-", i)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -261,7 +261,7 @@
 // without a response. net/http's transport resends requests that have an
 // idempotency header, so the order would run twice.
 func TestOrderIsNotSentAgainByTheTransport(t *testing.T) {
-	overBoth(t, func(t *testing.T, p Protocol) {
+	forEachProtocol(t, func(t *testing.T, p Protocol) {
 		var runs atomic.Int32
 		c := serveUpstream(t, p, func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodPost {
@@ -291,7 +291,7 @@
 // sent, so the client must return ErrNotRun: the caller may be told that the
 // request was not run, and the request may be sent to another upstream.
 func TestRefusedConnectionProvesNotRun(t *testing.T) {
-	overBoth(t, func(t *testing.T, p Protocol) {
+	forEachProtocol(t, func(t *testing.T, p Protocol) {
 		s := httptest.NewServer(nil)
 		a := netip.MustParseAddrPort(s.Listener.Addr().String())
 		s.Close()
@@ -306,16 +306,16 @@
 // The upstream mixes up two responses and sends each on the connection of the other
 // request. Without the check of the ID, each caller would read the other's data.
 func TestCrossedAnswersReachTheirOwnRequests(t *testing.T) {
-	overBoth(t, func(t *testing.T, p Protocol) {
-		type held struct {
+	forEachProtocol(t, func(t *testing.T, p Protocol) {
+		type received struct {
 			id   string
 			path string
 		}
-		first := make(chan held, 1)
-		second := make(chan held)
+		first := make(chan received, 1)
+		second := make(chan received)
 		c := serveUpstream(t, p, func(w http.ResponseWriter, r *http.Request) {
-			me := held{r.Header.Get(HeaderRequest), r.URL.Path}
-			var o held
+			me := received{r.Header.Get(HeaderRequest), r.URL.Path}
+			var o received
 			select {
 			case first <- me:
 				o = <-second
@@ -352,7 +352,7 @@
 // no request is waiting for. It must be dropped, not returned for the request on
 // whose connection it arrived.
 func TestAnswerToNobodyIsDropped(t *testing.T) {
-	overBoth(t, func(t *testing.T, p Protocol) {
+	forEachProtocol(t, func(t *testing.T, p Protocol) {
 		c := serveUpstream(t, p, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set(HeaderRequest, "an-earlier-life-17")
 			fmt.Fprint(w, "somebody else's letter")
@@ -393,7 +393,7 @@
 // be distinguishable from that of a failed upstream, which would be considered
 // cold.
 func TestErrorOfTheCallersBodyIsKept(t *testing.T) {
-	overBoth(t, func(t *testing.T, p Protocol) {
+	forEachProtocol(t, func(t *testing.T, p Protocol) {
 		c := serveUpstream(t, p, func(_ http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
 		r := newRequest(t, http.MethodPost, "/upload", "")
 		r.ContentLength = -1
