--- a/idempotency/idempotency_test.go
+++ b/idempotency/idempotency_test.go
@@ -14,6 +14,7 @@
 
 var noon = time.Unix(1_800_000_000, 0)
 
+// key returns a key that expires one minute after noon.
 func key() Key {
 	return Key{Home: netip.MustParseAddrPort("10.0.0.1:7002"), Life: 77, Service: 1, Expires: noon.Add(time.Minute), Nonce: 5}
 }
@@ -29,14 +30,14 @@
 		now     time.Time
 		want    error
 	}{
-		"good":          {text, 1, noon, nil},
-		"other service": {text, 2, noon, ErrService},
-		"expired":       {text, 1, noon.Add(time.Minute), ErrExpired},
-		"foreign":       {foreign.Seal(k), 1, noon, ErrForged},
-		"flipped":       {text[:20] + flip(text[20:21]) + text[21:], 1, noon, ErrForged},
-		"a caller's":    {"order-17", 1, noon, ErrForged},
-		"empty":         {"", 1, noon, ErrForged},
-		"other key id":  {"9" + text[1:], 1, noon, ErrForged},
+		"valid":               {text, 1, noon, nil},
+		"other service":       {text, 2, noon, ErrService},
+		"expired":             {text, 1, noon.Add(time.Minute), ErrExpired},
+		"other secret":        {foreign.Seal(k), 1, noon, ErrForged},
+		"modified ciphertext": {text[:20] + flip(text[20:21]) + text[21:], 1, noon, ErrForged},
+		"chosen by caller":    {"order-17", 1, noon, ErrForged},
+		"empty":               {"", 1, noon, ErrForged},
+		"other key ID":        {"9" + text[1:], 1, noon, ErrForged},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := s.Open(x.text, x.service, x.now)
@@ -47,6 +48,7 @@
 	}
 }
 
+// flip returns a base64 character other than s.
 func flip(s string) string {
 	if s == "A" {
 		return "B"
@@ -54,8 +56,8 @@
 	return "A"
 }
 
-// A buyer's screen sends the same order over two flows at once, because the
-// first seemed slow. Both reach the home together; one may run.
+// A caller sends copies of an order over several flows, for example because the
+// first seemed slow. They reach the home at the same time; only one may run.
 func TestOneOfManyCopiesRuns(t *testing.T) {
 	var j Journal
 	var runs atomic.Int32
@@ -72,18 +74,19 @@
 				j.Finish(key(), u, ResultAnswered, &Recorded{Status: 200, Body: []byte("1")})
 			}
 			if res, rec, err := j.Wait(t.Context(), u); err != nil || res != ResultAnswered || string(rec.Body) != "1" {
-				t.Errorf("copy got %v, %v, %v", res, rec, err)
+				t.Errorf("wrong result for a copy: %v, %v, %v", res, rec, err)
 			}
 		})
 	}
 	w.Wait()
 	if runs.Load() != 1 {
-		t.Errorf("%d copies ran", runs.Load())
+		t.Errorf("%d copies ran, want 1", runs.Load())
 	}
 }
 
-// The upstream refused the order before running it. The buyer is told "not run"
-// and sends it again under the same key: now it must run, not repeat a refusal.
+// The upstream refuses an order without running it. The caller receives "not run"
+// and sends the order again with the same key. It must then run, and the caller must
+// not receive the recorded refusal. With any other result it must not run again.
 func TestNotRunFreesTheKeyAndUnknownDoesNot(t *testing.T) {
 	for name, x := range map[string]struct {
 		result Result
@@ -94,7 +97,7 @@
 			u, _, _ := j.Begin(key(), "a")
 			j.Finish(key(), u, x.result, nil)
 			if _, fresh, _ := j.Begin(key(), "a"); fresh != x.again {
-				t.Errorf("may run again: %t", fresh)
+				t.Errorf("may run again = %t", fresh)
 			}
 		})
 	}
@@ -104,7 +107,7 @@
 	var j Journal
 	j.Begin(key(), "POST /order")
 	if _, _, err := j.Begin(key(), "POST /cancel"); !errors.Is(err, ErrOtherUse) {
-		t.Errorf("err = %v", err)
+		t.Errorf("err = %v, want ErrKeyReused", err)
 	}
 }
 
@@ -117,7 +120,7 @@
 	j.Begin(running, "a")
 	j.Collect(noon.Add(time.Hour))
 	if j.Len() != 1 || j.bytes != 0 {
-		t.Errorf("%d uses, %d bytes are left", j.Len(), j.bytes)
+		t.Errorf("%d entries and %d bytes are left, want 1 and 0", j.Len(), j.bytes)
 	}
 }
 
@@ -128,7 +131,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		k, err := s.Open(text, 1, noon)
 		if err == nil && k != key() {
-			t.Errorf("a made-up key was opened: %+v", k)
+			t.Errorf("a forged key was accepted: %+v", k)
 		}
 	})
 }
--- a/idempotency/journal.go
+++ b/idempotency/journal.go
@@ -8,32 +8,35 @@
 	"time"
 )
 
-// Result is what came of a keyed request.
+// Result says how a request with an idempotency key ended.
 type Result uint8
 
-// Results. ResultNotRun is never kept: the key may be used again.
+// Results. The journal never keeps ResultNotRun, so that the key can be used again.
 const (
+	// ResultUnknown means that the upstream may have run the request.
 	ResultUnknown Result = iota
+	// ResultAnswered means that the upstream ran the request and responded.
 	ResultAnswered
+	// ResultNotRun means that the upstream certainly did not run the request.
 	ResultNotRun
 )
 
-// Recorded is an answer that can be repeated.
+// RecordedResponse is a response that can be sent again for the same key.
 type Recorded struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// TooLong says that the answer was given once but was too long to keep.
+	// TooLong means that the response was sent once but was too long to keep.
 	TooLong bool
 }
 
-// MaxRecorded is the longest body that is kept for repeating, in bytes.
+// MaxRecordedBody is the maximum length of a recorded body, in bytes.
 const MaxRecorded = 64 << 10
 
-// Bounds of a journal.
+// Limits of a journal.
 const (
 	maxEntries = 100_000
-	// maxBytes keeps the recorded answers within the agent's memory.
+	// maxBytes limits the memory of an agent that recorded bodies take.
 	maxBytes = 16 << 20
 )
 
@@ -43,26 +46,30 @@
 	ErrOtherUse    = errors.New("idempotency key was used for another request")
 )
 
-// Use is one keyed request in the journal.
+// Entry is the record of one request with an idempotency key.
 type Use struct {
+	// fingerprint identifies the request that the key was first used for.
 	fingerprint string
 	expires     time.Time
-	done        chan struct{}
-	result      Result
-	recorded    *Recorded
+	// done is closed once result and recorded are set.
+	done     chan struct{}
+	result   Result
+	recorded *Recorded
 }
 
-// Journal keeps the uses of the keys whose home this process is. Its zero value
-// works.
+// Journal keeps an entry for each used key that this process issued. The zero value
+// is ready to use.
 type Journal struct {
-	mu    sync.Mutex
-	uses  map[Nonce]*Use
+	mu   sync.Mutex
+	uses map[Nonce]*Use
+	// bytes is the total length of the recorded bodies.
 	bytes int
-	// last is the expiry of the latest key that was issued here.
+	// lastExpiry is the latest expiry of the keys that this process issued.
 	last time.Time
 }
 
-// Issued notes that a key was issued here, so that the home stays for it.
+// RecordIssued records that this process issued a key with the expiry. An agent
+// that leaves uses LastExpiry to stay available until its last key has expired.
 func (j *Journal) Issued(expires time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -71,17 +78,19 @@
 	}
 }
 
-// Until returns when the last key that was issued here expires.
+// LastExpiry returns the latest expiry of the keys that this process issued.
 func (j *Journal) Until() time.Time {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.last
 }
 
-// Begin returns the key's use and whether the caller must run the request.
+// Begin returns the key's entry and whether it is new, in which case the caller must
+// run the request and call Finish.
 //
-// Two copies of an order that arrive at once must not both run; the entry made
-// here, before anything is sent on, is what the second finds.
+// The entry is created before the request is sent to the upstream. Of two copies of
+// an order that arrive at the same time, the second therefore finds the entry of the
+// first and does not run.
 func (j *Journal) Begin(k Key, fingerprint string) (u *Use, fresh bool, err error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -105,7 +114,7 @@
 	return u, true, nil
 }
 
-// Finish records what came of the use and tells those who wait.
+// Finish sets the result of the entry and wakes all waiters.
 func (j *Journal) Finish(k Key, u *Use, r Result, rec *Recorded) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -119,7 +128,7 @@
 	close(u.done)
 }
 
-// Wait returns what came of the use.
+// Wait waits until the entry is finished and returns its result.
 func (j *Journal) Wait(ctx context.Context, u *Use) (Result, *Recorded, error) {
 	select {
 	case <-u.done:
@@ -129,16 +138,16 @@
 	}
 }
 
-// Collect forgets uses whose keys have expired; an expired key is refused
-// before the journal is asked.
+// RemoveExpired removes finished entries whose keys have expired. Requests with an
+// expired key are rejected before the journal is consulted.
 func (j *Journal) Collect(now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.collect(now)
 }
 
-// collectAfter keeps a use a little past its key's expiry, for a request that
-// was opened just before it.
+// expiryGracePeriod is how long an entry is kept after its key has expired. A request
+// whose key was checked just before the expiry still finds the entry.
 const collectAfter = time.Minute
 
 func (j *Journal) collect(now time.Time) {
@@ -157,7 +166,7 @@
 	}
 }
 
-// Len returns how many uses are kept.
+// Len returns the number of entries.
 func (j *Journal) Len() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -1,11 +1,12 @@
-// Package idempotency issues the keys by which a request runs at most once, and
-// keeps what came of each.
+// Package idempotency implements the idempotency keys with which a request runs at
+// most once, and the journal of their results.
 //
-// A key names its home: the agent, and the life of that agent, which alone may
-// run the request. So at-most-once needs no write to the platform for an order
-// and no agreement: one process decides, and if that process is dead nobody
-// does, and the outcome is unknown. docs/DESIGN.md weighs it against homes that
-// move by lease and a conditional create in the platform for each order.
+// A key names its home: the process that issued it, given by the agent's address and
+// its incarnation ("life"). Only the home may run a request with the key. At-most-once
+// execution therefore needs neither a write to the platform for each order nor
+// consensus. If the home has failed, no other process can decide, and the outcome of
+// the request is unknown. docs/DESIGN.md compares this design with homes that move by
+// lease, and with a conditional create in the platform for each order.
 package idempotency
 
 import (
@@ -27,30 +28,30 @@
 	"pomeloway.example/pomeloway/keyring"
 )
 
-// Header is the header that carries a key, as in the IETF draft
-// draft-ietf-httpapi-idempotency-key-header.
+// Header is the name of the HTTP header that carries a key
+// (draft-ietf-httpapi-idempotency-key-header).
 const Header = "Idempotency-Key"
 
-// Errors of Opener.Open.
+// Errors of Sealer.Open.
 var (
 	ErrForged  = errors.New("idempotency key was not issued by this fleet")
 	ErrExpired = errors.New("idempotency key has expired")
 	ErrService = errors.New("idempotency key was issued for another service")
 )
 
-// Nonce tells the keys of one home apart.
+// Nonce identifies a key among those of the same home.
 type Nonce uint64
 
-// Key is what an idempotency key says.
+// Key is the content of an idempotency key.
 type Key struct {
-	Home    netip.AddrPort // the home's peer address, IPv4
+	Home    netip.AddrPort // peer address of the home, IPv4
 	Life    fleet.Incarnation
 	Service bundle.ServiceID
 	Expires time.Time
 	Nonce   Nonce
 }
 
-// Layout of a key's plain text, in bytes.
+// Field offsets and size of a key's plaintext, in bytes.
 const (
 	atPort    = 4
 	atLife    = 6
@@ -60,6 +61,7 @@
 	plainSize = 32
 )
 
+// marshal returns the plaintext of the key.
 func (k *Key) marshal() []byte {
 	b := make([]byte, plainSize)
 	a := k.Home.Addr().As4()
@@ -72,6 +74,7 @@
 	return b
 }
 
+// unmarshal decodes a plaintext of plaintextSize bytes.
 func unmarshal(b []byte) Key {
 	return Key{
 		Home:    netip.AddrPortFrom(netip.AddrFrom4([4]byte(b)), binary.BigEndian.Uint16(b[atPort:])),
@@ -82,19 +85,20 @@
 	}
 }
 
-// Sealer seals and opens keys under the fleet's secrets.
+// Sealer encrypts and decrypts keys with the fleet's secrets.
 type Sealer struct {
 	ids   []bundle.KeyID
 	aeads []cipher.AEAD
 }
 
-// NewSealer returns a sealer; it seals under the ring's first secret.
+// NewSealer returns a sealer that encrypts with the first secret of the ring and
+// decrypts with any of them.
 func NewSealer(r keyring.Ring) *Sealer {
 	s := &Sealer{}
 	for _, k := range r {
 		a, err := chacha20poly1305.NewX(k.Derive(keyring.UseOrder, chacha20poly1305.KeySize))
 		if err != nil {
-			panic(err) // the key's length is a constant
+			panic(err) // unreachable: the derived key has the required length
 		}
 		s.ids, s.aeads = append(s.ids, k.ID()), append(s.aeads, a)
 	}
@@ -108,8 +112,8 @@
 	return Nonce(binary.BigEndian.Uint64(b[:]))
 }
 
-// Seal returns the key's text. The extended nonce is random: at 192 bits two
-// agents that share a secret never draw the same one.
+// Seal returns the key as encrypted text. The AEAD nonce is random: with 192 bits,
+// a collision between agents that share a secret is practically impossible.
 func (s *Sealer) Seal(k Key) string {
 	n := make([]byte, chacha20poly1305.NonceSizeX, chacha20poly1305.NonceSizeX+plainSize+chacha20poly1305.Overhead)
 	rand.Read(n)
@@ -117,7 +121,7 @@
 	return strconv.Itoa(int(s.ids[0])) + "." + base64.RawURLEncoding.EncodeToString(c)
 }
 
-// Open reads a key's text for the service.
+// Open decrypts a key's text and checks its service and expiry.
 func (s *Sealer) Open(text string, want bundle.ServiceID, now time.Time) (Key, error) {
 	k, err := s.open(text)
 	switch {
@@ -131,11 +135,12 @@
 	return k, nil
 }
 
+// open decrypts a key's text with the secret that its key ID names.
 func (s *Sealer) open(text string) (Key, error) {
 	id, rest, _ := strings.Cut(text, ".")
 	b, err := base64.RawURLEncoding.DecodeString(rest)
 	if err != nil || len(b) != chacha20poly1305.NonceSizeX+plainSize+chacha20poly1305.Overhead {
-		return Key{}, eris.Wrap(ErrForged, "not a key's form")
+		return Key{}, eris.Wrap(ErrForged, "malformed idempotency key")
 	}
 	for i, a := range s.aeads {
 		if strconv.Itoa(int(s.ids[i])) != id {
