--- a/idempotency/idempotency_test.go
+++ b/idempotency/idempotency_test.go
@@ -64,12 +64,12 @@
 	var w sync.WaitGroup
 	for range 50 {
 		w.Go(func() {
-			u, fresh, err := j.Begin(key(), "POST /order")
+			u, isNew, err := j.Begin(key(), "POST /order")
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			if fresh {
+			if isNew {
 				runs.Add(1)
 				j.Finish(key(), u, ResultAnswered, &Recorded{Status: 200, Body: []byte("1")})
 			}
@@ -96,8 +96,8 @@
 			var j Journal
 			u, _, _ := j.Begin(key(), "a")
 			j.Finish(key(), u, x.result, nil)
-			if _, fresh, _ := j.Begin(key(), "a"); fresh != x.again {
-				t.Errorf("may run again = %t", fresh)
+			if _, isNew, _ := j.Begin(key(), "a"); isNew != x.again {
+				t.Errorf("may run again = %t", isNew)
 			}
 		})
 	}
--- a/idempotency/journal.go
+++ b/idempotency/journal.go
@@ -60,12 +60,12 @@
 // Journal keeps an entry for each used key that this process issued. The zero value
 // is ready to use.
 type Journal struct {
-	mu   sync.Mutex
-	uses map[Nonce]*Use
+	mu      sync.Mutex
+	entries map[Nonce]*Use
 	// bytes is the total length of the recorded bodies.
 	bytes int
 	// lastExpiry is the latest expiry of the keys that this process issued.
-	last time.Time
+	lastExpiry time.Time
 }
 
 // RecordIssued records that this process issued a key with the expiry. An agent
@@ -73,8 +73,8 @@
 func (j *Journal) Issued(expires time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if expires.After(j.last) {
-		j.last = expires
+	if expires.After(j.lastExpiry) {
+		j.lastExpiry = expires
 	}
 }
 
@@ -82,7 +82,7 @@
 func (j *Journal) Until() time.Time {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.last
+	return j.lastExpiry
 }
 
 // Begin returns the key's entry and whether it is new, in which case the caller must
@@ -91,26 +91,26 @@
 // The entry is created before the request is sent to the upstream. Of two copies of
 // an order that arrive at the same time, the second therefore finds the entry of the
 // first and does not run.
-func (j *Journal) Begin(k Key, fingerprint string) (u *Use, fresh bool, err error) {
+func (j *Journal) Begin(k Key, fingerprint string) (u *Use, isNew bool, err error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if u, ok := j.uses[k.Nonce]; ok {
+	if u, ok := j.entries[k.Nonce]; ok {
 		if u.fingerprint != fingerprint {
 			return nil, false, ErrOtherUse
 		}
 		return u, false, nil
 	}
-	if len(j.uses) >= maxEntries || j.bytes >= maxBytes {
-		j.collect(time.Now())
+	if len(j.entries) >= maxEntries || j.bytes >= maxBytes {
+		j.removeExpired(time.Now())
 	}
-	if len(j.uses) >= maxEntries || j.bytes >= maxBytes {
+	if len(j.entries) >= maxEntries || j.bytes >= maxBytes {
 		return nil, false, ErrJournalFull
 	}
-	if j.uses == nil {
-		j.uses = map[Nonce]*Use{}
+	if j.entries == nil {
+		j.entries = map[Nonce]*Use{}
 	}
 	u = &Use{fingerprint: fingerprint, expires: k.Expires, done: make(chan struct{})}
-	j.uses[k.Nonce] = u
+	j.entries[k.Nonce] = u
 	return u, true, nil
 }
 
@@ -123,7 +123,7 @@
 		j.bytes += len(rec.Body)
 	}
 	if r == ResultNotRun {
-		delete(j.uses, k.Nonce)
+		delete(j.entries, k.Nonce)
 	}
 	close(u.done)
 }
@@ -143,25 +143,26 @@
 func (j *Journal) Collect(now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.collect(now)
+	j.removeExpired(now)
 }
 
 // expiryGracePeriod is how long an entry is kept after its key has expired. A request
 // whose key was checked just before the expiry still finds the entry.
-const collectAfter = time.Minute
+const expiryGracePeriod = time.Minute
 
-func (j *Journal) collect(now time.Time) {
-	for n, u := range j.uses {
+// removeExpired is RemoveExpired for callers that hold j.mu.
+func (j *Journal) removeExpired(now time.Time) {
+	for n, u := range j.entries {
 		select {
 		case <-u.done:
 		default:
 			continue
 		}
-		if now.After(u.expires.Add(collectAfter)) {
+		if now.After(u.expires.Add(expiryGracePeriod)) {
 			if u.recorded != nil {
 				j.bytes -= len(u.recorded.Body)
 			}
-			delete(j.uses, n)
+			delete(j.entries, n)
 		}
 	}
 }
@@ -170,5 +171,5 @@
 func (j *Journal) Len() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return len(j.uses)
+	return len(j.entries)
 }
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -53,35 +53,35 @@
 
 // Field offsets and size of a key's plaintext, in bytes.
 const (
-	atPort    = 4
-	atLife    = 6
-	atService = 14
-	atExpires = 16
-	atNonce   = 24
-	plainSize = 32
+	portOffset    = 4
+	lifeOffset    = 6
+	serviceOffset = 14
+	expiresOffset = 16
+	nonceOffset   = 24
+	plaintextSize = 32
 )
 
 // marshal returns the plaintext of the key.
 func (k *Key) marshal() []byte {
-	b := make([]byte, plainSize)
+	b := make([]byte, plaintextSize)
 	a := k.Home.Addr().As4()
 	copy(b, a[:])
-	binary.BigEndian.PutUint16(b[atPort:], k.Home.Port())
-	binary.BigEndian.PutUint64(b[atLife:], uint64(k.Life))
-	binary.BigEndian.PutUint16(b[atService:], uint16(k.Service))
-	binary.BigEndian.PutUint64(b[atExpires:], uint64(k.Expires.UnixMilli()))
-	binary.BigEndian.PutUint64(b[atNonce:], uint64(k.Nonce))
+	binary.BigEndian.PutUint16(b[portOffset:], k.Home.Port())
+	binary.BigEndian.PutUint64(b[lifeOffset:], uint64(k.Life))
+	binary.BigEndian.PutUint16(b[serviceOffset:], uint16(k.Service))
+	binary.BigEndian.PutUint64(b[expiresOffset:], uint64(k.Expires.UnixMilli()))
+	binary.BigEndian.PutUint64(b[nonceOffset:], uint64(k.Nonce))
 	return b
 }
 
 // unmarshal decodes a plaintext of plaintextSize bytes.
 func unmarshal(b []byte) Key {
 	return Key{
-		Home:    netip.AddrPortFrom(netip.AddrFrom4([4]byte(b)), binary.BigEndian.Uint16(b[atPort:])),
-		Life:    fleet.Incarnation(binary.BigEndian.Uint64(b[atLife:])),
-		Service: bundle.ServiceID(binary.BigEndian.Uint16(b[atService:])),
-		Expires: time.UnixMilli(int64(binary.BigEndian.Uint64(b[atExpires:]))),
-		Nonce:   Nonce(binary.BigEndian.Uint64(b[atNonce:])),
+		Home:    netip.AddrPortFrom(netip.AddrFrom4([4]byte(b)), binary.BigEndian.Uint16(b[portOffset:])),
+		Life:    fleet.Incarnation(binary.BigEndian.Uint64(b[lifeOffset:])),
+		Service: bundle.ServiceID(binary.BigEndian.Uint16(b[serviceOffset:])),
+		Expires: time.UnixMilli(int64(binary.BigEndian.Uint64(b[expiresOffset:]))),
+		Nonce:   Nonce(binary.BigEndian.Uint64(b[nonceOffset:])),
 	}
 }
 
@@ -115,7 +115,7 @@
 // Seal returns the key as encrypted text. The AEAD nonce is random: with 192 bits,
 // a collision between agents that share a secret is practically impossible.
 func (s *Sealer) Seal(k Key) string {
-	n := make([]byte, chacha20poly1305.NonceSizeX, chacha20poly1305.NonceSizeX+plainSize+chacha20poly1305.Overhead)
+	n := make([]byte, chacha20poly1305.NonceSizeX, chacha20poly1305.NonceSizeX+plaintextSize+chacha20poly1305.Overhead)
 	rand.Read(n)
 	c := s.aeads[0].Seal(n, n, k.marshal(), nil)
 	return strconv.Itoa(int(s.ids[0])) + "." + base64.RawURLEncoding.EncodeToString(c)
@@ -139,7 +139,7 @@
 func (s *Sealer) open(text string) (Key, error) {
 	id, rest, _ := strings.Cut(text, ".")
 	b, err := base64.RawURLEncoding.DecodeString(rest)
-	if err != nil || len(b) != chacha20poly1305.NonceSizeX+plainSize+chacha20poly1305.Overhead {
+	if err != nil || len(b) != chacha20poly1305.NonceSizeX+plaintextSize+chacha20poly1305.Overhead {
 		return Key{}, eris.Wrap(ErrForged, "malformed idempotency key")
 	}
 	for i, a := range s.aeads {
