--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -24,20 +24,23 @@
 // Balancer forwards the datagrams of all services of the bundle in force.
 type Balancer struct {
 	*process.Process
-	opts  Options
+	opts Options
+	// off is the guard that a test has disabled, if any.
 	off   guard.Off
 	link  *link.Socket
 	view  atomic.Pointer[View]
 	ports atomic.Pointer[portMap]
 
 	leaving atomic.Bool
-	kill    chan struct{}
-	killed  sync.Once
+	// kill is closed by Kill.
+	kill   chan struct{}
+	killed sync.Once
 
 	mu       sync.Mutex
 	counters []*Counters
 	closed   bool
-	wait     sync.WaitGroup
+	// wait waits for the forwarders.
+	wait sync.WaitGroup
 	// outSince maps each availability zone that is out of service to the time at
 	// which this balancer learned of it.
 	outSince map[bundle.ZoneID]time.Time
--- a/balancer/observer.go
+++ b/balancer/observer.go
@@ -30,8 +30,8 @@
 	// a flow must move to another balancer.
 	heartbeatInterval = 500 * time.Millisecond
 	// ackTimeout is four heartbeat intervals. At 10% random loss, a live member
-	// is then doubted once in 10,000 heartbeats, which is acceptable because a
-	// wrong doubt costs little.
+	// is then doubted once in 10,000 heartbeats. That is acceptable: a doubted
+	// member keeps its flows and only becomes the last choice for openings.
 	ackTimeout = 4 * heartbeatInterval
 	// pauseThreshold is the gap between two ticks above which this process itself
 	// is assumed to have been paused.
@@ -150,7 +150,8 @@
 // acknowledgement is older than ackTimeout.
 func (o *observer) tick(now time.Time) {
 	// After a pause of this process, such as a VM migration, every member appears
-	// silent. The pause shows as a gap between ticks; ackTimeout then starts anew.
+	// silent. A gap between ticks shows the pause, and ackTimeout is then restarted
+	// for each member.
 	paused := !o.lastTick.IsZero() && now.Sub(o.lastTick) > pauseThreshold
 	o.lastTick = now
 	v := o.view.Load()
--- a/balancer/view_test.go
+++ b/balancer/view_test.go
@@ -114,9 +114,9 @@
 	}
 }
 
-// The view doubts an agent that is alive, for example because it lags. The agent
-// must keep its flows and remain a candidate after all others, so that a wrong
-// doubt costs no flow.
+// The view lags behind and marks a working agent as doubted. The agent must keep its
+// flows and remain the last candidate for openings, so that a wrong doubt costs no
+// flow.
 func TestDoubtCostsNoFlow(t *testing.T) {
 	_, ms := newTestView(1, 3, nil)
 	doubts := map[fleet.MemberID]bool{ms[0].ID: true}
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -195,7 +195,7 @@
 		if conn == nil {
 			return nil, eris.Wrap(ErrNotRun, err.Error())
 		}
-		return nil, &UnfinishedError{err, onStopOn(conn.Conn)}
+		return nil, &UnfinishedError{err, connOnStop(conn.Conn)}
 	}
 	b := &body{ReadCloser: a.Body, cancel: cancel}
 	if conn != nil {
@@ -235,7 +235,7 @@
 	if !ok || b.complete {
 		return nil
 	}
-	return onStopOn(b.conn)
+	return connOnStop(b.conn)
 }
 
 // Close closes the body and cancels the exchange if it still runs.
--- a/upstream/linger.go
+++ b/upstream/linger.go
@@ -73,8 +73,8 @@
 // working on an aborted request, or is assumed to have stopped.
 type End func(func())
 
-// onStopOn returns the OnStop of a request that was aborted on the connection.
-func onStopOn(c net.Conn) End {
+// connOnStop returns the OnStop of a request that was aborted on this connection.
+func connOnStop(c net.Conn) End {
 	l, ok := c.(*lingerConn)
 	if !ok {
 		return func(f func()) { time.AfterFunc(streamResetDelay, f) }
