--- a/balancer/options.go
+++ b/balancer/options.go
@@ -12,10 +12,10 @@
 	process.Options `embed:""`
 	// Bind replaces the IP of the services' addresses. It lets several balancers
 	// share a host, as in a test on loopback.
-	Bind netip.Addr `help:"Listen for callers on this IP instead of the IPs of the services." env:"POMELOWAY_BIND" placeholder:"IP" group:"Addresses"`
+	Bind netip.Addr `help:"Listen for callers on this IP instead of the services' own." env:"POMELOWAY_BIND" placeholder:"IP" group:"Addresses"`
 	// Forwarders is the number of sockets, each with its own thread, that share
 	// the address of a service.
-	Forwarders int `help:"Number of sockets, each with its own thread, per service address." default:"1" env:"POMELOWAY_FORWARDERS" group:"Work"`
+	Forwarders int `help:"Sockets and threads for each service's address." default:"1" env:"POMELOWAY_FORWARDERS" group:"Work"`
 }
 
 // maxForwarders is well above the number of cores of an entry VM.
