--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,5 +1,5 @@
-// Package balancer is the program on an entry VM: it carries the datagrams of
-// callers to agents and back, and remembers no flow.
+// Package balancer implements the balancer, the process on an entry VM that
+// forwards datagrams from callers to agents and back. It keeps no per-flow state.
 package balancer
 
 import (
@@ -21,28 +21,33 @@
 	"pomeloway.example/pomeloway/process"
 )
 
-// Balancer is a running balancer.
+// Balancer forwards the datagrams of all services of the bundle in force.
 type Balancer struct {
 	*process.Process
-	opts  Options
+	opts Options
+	// off is the guard that a test has disabled, if any.
 	off   guard.Off
 	link  *link.Socket
 	view  atomic.Pointer[View]
 	ports atomic.Pointer[portMap]
 
 	leaving atomic.Bool
-	kill    chan struct{}
-	killed  sync.Once
+	// kill is closed by Kill.
+	kill   chan struct{}
+	killed sync.Once
 
 	mu       sync.Mutex
 	counters []*Counters
 	closed   bool
-	wait     sync.WaitGroup
-	// outSince has the zones that are out, and when this balancer learnt of it.
+	// wait waits for the forwarders.
+	wait sync.WaitGroup
+	// outSince maps each availability zone that is out of service to the time at
+	// which this balancer learned of it.
 	outSince map[bundle.ZoneID]time.Time
 }
 
-// New prepares a balancer and opens its own sockets.
+// New returns a balancer with its link socket open. Run opens the sockets of the
+// services.
 func New(o Options, l *slog.Logger, off guard.Off) (*Balancer, error) {
 	s, err := link.Listen(o.Link)
 	if err != nil {
@@ -56,24 +61,25 @@
 		return nil, err
 	}
 	b := &Balancer{Process: p, off: off, opts: o, link: s, outSince: map[bundle.ZoneID]time.Time{}, kill: make(chan struct{})}
-	b.view.Store(&View{links: link.NewKeys(p.Keys())})
+	b.view.Store(&View{linkKeys: link.NewKeys(p.Keys())})
 	b.ports.Store(&portMap{})
 	p.SetState(func() any { return b.Counts() })
 	return b, nil
 }
 
-// Run serves until the context ends, then leaves gracefully.
+// Run forwards datagrams until the context ends or Kill is called. When the
+// context ends, the balancer leaves the fleet gracefully before Run returns.
 func (b *Balancer) Run(stopped context.Context) error {
 	var g run.Group
 	b.AddTo(&g)
 	ctx, stop := context.WithCancel(context.Background())
 	g.Add(func() error { return b.leave(ctx, stopped) }, func(error) { stop() })
-	acks := make(chan ack, ackRing)
+	acks := make(chan ack, ackQueueSize)
 	o := &observer{node: b.Node, link: b.link, view: &b.view, log: b.Log, acks: acks}
-	r := &returner{link: b.link, view: &b.view, ports: &b.ports, life: uint64(b.Node.Self().Incarnation), acks: acks, count: b.newCounters()}
-	g.Add(func() error { return b.follow(ctx) }, func(error) { stop() })
+	r := &returner{link: b.link, view: &b.view, ports: &b.ports, incarnation: uint64(b.Node.Self().Incarnation), acks: acks, count: b.newCounters()}
+	g.Add(func() error { return b.updateViews(ctx) }, func(error) { stop() })
 	g.Add(func() error { return o.run(ctx) }, func(error) { stop() })
-	g.Add(func() error { return ended(ctx, r.run()) }, func(error) { b.close() })
+	g.Add(func() error { return ignoreAfterCancel(ctx, r.run()) }, func(error) { b.close() })
 	b.Log.Add(events.Started, slog.String("program", "balancer"), slog.String("link", b.link.Addr().String()))
 	err := g.Run()
 	b.wait.Wait()
@@ -81,11 +87,12 @@
 	return err
 }
 
-// leaveFor is how long a leaving balancer goes on forwarding, until the fabric
-// and the agents have taken it out of their choices.
-const leaveFor = 3 * time.Second
+// leaveDelay is how long a leaving balancer continues to forward. It gives the
+// network fabric and the agents time to stop selecting this balancer.
+const leaveDelay = 3 * time.Second
 
-// leave waits for the stop, tells everybody, and ends the group a little later.
+// leave waits for the stop context, announces the leaving phase, and returns
+// after leaveDelay, which ends the run group.
 func (b *Balancer) leave(ctx, stopped context.Context) error {
 	select {
 	case <-stopped.Done():
@@ -98,7 +105,7 @@
 	b.leaving.Store(true)
 	b.SetReady(false)
 	b.Node.SetPhase(fleet.PhaseLeaving)
-	t := time.NewTimer(leaveFor)
+	t := time.NewTimer(leaveDelay)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -110,18 +117,19 @@
 	return nil
 }
 
-// Kill ends the balancer at once, as a crash would.
+// Kill stops the balancer immediately and without announcing it, like a crash.
 func (b *Balancer) Kill() { b.killed.Do(func() { close(b.kill) }) }
 
-// ended hides the error by which a closed socket ends its reader.
-func ended(ctx context.Context, err error) error {
+// ignoreAfterCancel returns nil if the context has ended, and err otherwise. A
+// reader whose socket is closed on shutdown returns an error that is no failure.
+func ignoreAfterCancel(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// close shuts all sockets.
+// close closes the link socket and the sockets of all services.
 func (b *Balancer) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -132,9 +140,9 @@
 	}
 }
 
-// follow makes a new view of each change of the fleet.
-func (b *Balancer) follow(ctx context.Context) error {
-	t := time.NewTicker(reviewEvery)
+// updateViews builds a new view on each change of the fleet state.
+func (b *Balancer) updateViews(ctx context.Context) error {
+	t := time.NewTicker(viewRefreshInterval)
 	defer t.Stop()
 	for {
 		changed := b.State.Changed()
@@ -143,16 +151,18 @@
 		}
 		select {
 		case <-changed:
-		case <-t.C: // doubts come to count with time alone
+		case <-t.C: // whether a member is doubted also depends on the time
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// reviewEvery is how often the view is made anew without a change.
-const reviewEvery = 5 * time.Second
+// viewRefreshInterval is how often the view is rebuilt without a change.
+const viewRefreshInterval = 5 * time.Second
 
+// apply stores a view built from the bundle and the fleet state. If the bundle
+// version changed, it also updates the peer identity and the service sockets.
 func (b *Balancer) apply(a *bundle.Accepted) {
 	r, err := b.Ring(a)
 	if err != nil {
@@ -164,21 +174,21 @@
 	ms, _ := b.State.Snapshot()
 	old := b.view.Load()
 	if old.Version != a.Version {
-		b.noteZones(a.Bundle)
+		b.updateZones(a.Bundle)
 	}
 	v := NewView(a, r, ms, b.State.Doubted())
 	v.off = b.off
-	b.planResets(v, a.Bundle)
+	b.scheduleResets(v, a.Bundle)
 	b.view.Store(v)
 	if old.Version != v.Version {
 		b.Rekey(r)
-		b.listen(a.Bundle)
+		b.updatePorts(a.Bundle)
 	}
 	b.SetReady(!v.zoneOut[b.opts.Zone] && !b.leaving.Load())
 }
 
-// noteZones takes over which zones are out, and logs each that changed.
-func (b *Balancer) noteZones(x *bundle.Bundle) {
+// updateZones records which zones are out of service and logs each change.
+func (b *Balancer) updateZones(x *bundle.Bundle) {
 	for _, z := range x.Zones {
 		_, was := b.outSince[z.ID]
 		switch out := z.State == bundle.ZoneStateOut; {
@@ -192,20 +202,21 @@
 	}
 }
 
-// planResets sets from when on flows of the zones that are out get resets: when
-// the agents' time to close them has passed, counted from when this balancer
-// learnt of it. Callers that were told by their agent never see one.
-func (b *Balancer) planResets(v *View, x *bundle.Bundle) {
-	wait := x.Timeouts.OrDefault().ZoneOutRun + resetMargin
+// scheduleResets sets the time from which the balancer answers datagrams to zones
+// that are out with stateless resets. The agents of such a zone have ZoneOutRun to
+// close their flows, counted from when this balancer learned that the zone is out;
+// a caller that received its agent's close gets no reset.
+func (b *Balancer) scheduleResets(v *View, x *bundle.Bundle) {
+	delay := x.Timeouts.OrDefault().ZoneOutRun + resetMargin
 	for _, z := range x.Zones {
 		if t, out := b.outSince[z.ID]; out {
-			v.resetFrom[z.ID] = uint32(t.Add(wait).Unix())
+			v.resetFrom[z.ID] = uint32(t.Add(delay).Unix())
 		}
 	}
 }
 
-// listen opens and closes sockets until they are those of the bundle.
-func (b *Balancer) listen(x *bundle.Bundle) {
+// updatePorts opens and closes sockets to match the services of the bundle.
+func (b *Balancer) updatePorts(x *bundle.Bundle) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
@@ -222,7 +233,7 @@
 			next[s.ID] = p
 			continue
 		}
-		if p := b.open(s.ID, a); p != nil {
+		if p := b.openPort(s.ID, a); p != nil {
 			next[s.ID] = p
 		}
 	}
@@ -234,8 +245,9 @@
 	}
 }
 
-// open starts the forwarders of one service.
-func (b *Balancer) open(id bundle.ServiceID, a netip.AddrPort) *port {
+// openPort opens the sockets of one service and starts their forwarders. It
+// returns nil if a socket can't be opened. b.mu must be held.
+func (b *Balancer) openPort(id bundle.ServiceID, a netip.AddrPort) *port {
 	listen := link.Listen
 	if b.opts.Forwarders > 1 {
 		listen = link.ListenShared
@@ -251,25 +263,27 @@
 		p.sockets = append(p.sockets, s)
 	}
 	for _, s := range p.sockets {
-		f := &forwarder{id: id, zone: b.opts.Zone, in: s, link: b.link, view: &b.view, log: b.Log, count: b.countersLocked()}
+		f := &forwarder{id: id, zone: b.opts.Zone, in: s, link: b.link, view: &b.view, log: b.Log, count: b.newCountersLocked()}
 		b.wait.Go(func() { f.run() })
 	}
 	return p
 }
 
+// newCounters returns counters that Counts includes in its sums.
 func (b *Balancer) newCounters() *Counters {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.countersLocked()
+	return b.newCountersLocked()
 }
 
-func (b *Balancer) countersLocked() *Counters {
+// newCountersLocked is newCounters for callers that hold b.mu.
+func (b *Balancer) newCountersLocked() *Counters {
 	c := &Counters{}
 	b.counters = append(b.counters, c)
 	return c
 }
 
-// Counts is the sum of a balancer's counters.
+// Counts holds the sums of a balancer's counters.
 type Counts struct {
 	Forwarded uint64 `json:"forwarded"`
 	Opened    uint64 `json:"opened"`
@@ -282,7 +296,7 @@
 	Reset     uint64 `json:"reset"`
 }
 
-// Counts returns what the balancer has done so far.
+// Counts returns the sums of the counters of all forwarders and of the returner.
 func (b *Balancer) Counts() Counts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balancer/observer.go
+++ b/balancer/observer.go
@@ -1,9 +1,13 @@
-// This file watches over the lives of the members that rendezvous hashing gives
-// to this balancer: it sends each a heartbeat every half second and forms an
-// opinion from the answers. Three observers a member make the cost of a balancer
-// independent of the fleet's size: three times the members over the balancers.
-// Opinions spread with the view of the fleet. Given up: a verdict within a
-// second; openings to a member that just died are repeated by the caller.
+// This file implements failure detection. Rendezvous hashing assigns each member
+// of the fleet to three observing balancers. An observer sends the member a
+// heartbeat every 500 ms and derives an opinion from the acknowledgements: the
+// member is doubted (considered failed) or not. Opinions are distributed with the
+// fleet state.
+//
+// With three observers per member, a balancer observes three times the members
+// divided by the balancers, so its load does not depend on the size of the fleet.
+// The trade-off is that detection takes more than a second: until then, callers
+// have to repeat openings that were sent to a failed member.
 
 package balancer
 
@@ -22,31 +26,40 @@
 )
 
 const (
-	// heartbeatEvery is half the second in which a return path must move.
-	heartbeatEvery = 500 * time.Millisecond
-	// silentAfter is four heartbeats: random loss of one in ten doubts a live
-	// member once in ten thousand heartbeats, and wrongly doubting costs little.
-	silentAfter = 4 * heartbeatEvery
-	// pausedAfter is a gap between heartbeats that shows this process itself
-	// stood still.
-	pausedAfter = 3 * heartbeatEvery
-	ackRing     = 4096
+	// heartbeatInterval is half of the one second within which the return path of
+	// a flow must move to another balancer.
+	heartbeatInterval = 500 * time.Millisecond
+	// ackTimeout is four heartbeat intervals. At 10% random loss, a live member
+	// is then doubted once in 10,000 heartbeats. That is acceptable: a doubted
+	// member keeps its flows and only becomes the last choice for openings.
+	ackTimeout = 4 * heartbeatInterval
+	// pauseThreshold is the gap between two ticks above which this process itself
+	// is assumed to have been paused.
+	pauseThreshold = 3 * heartbeatInterval
+	// ackQueueSize is the capacity of the channel from the returner to the
+	// observer. Acknowledgements beyond it are dropped.
+	ackQueueSize = 4096
 )
 
+// ack is a heartbeat acknowledgement that the returner received.
 type ack struct {
-	from netip.AddrPort
-	life uint64
-	load uint16
+	from        netip.AddrPort
+	incarnation uint64
+	load        uint16
 }
 
+// subject is a member that this balancer observes.
 type subject struct {
-	member  fleet.Member
-	heard   time.Time
+	member fleet.Member
+	// lastAck is when the last acknowledgement arrived. Initially, and after a
+	// pause of this process, it is the current time.
+	lastAck time.Time
 	doubted bool
-	// told is when the opinion was last made known.
-	told time.Time
+	// publishedAt is when the opinion was last merged into the fleet state.
+	publishedAt time.Time
 }
 
+// observer sends heartbeats to its subjects and publishes opinions on them.
 type observer struct {
 	node *peer.Node
 	link *link.Socket
@@ -55,21 +68,21 @@
 	acks chan ack
 
 	subjects map[netip.AddrPort]*subject
-	last     time.Time
+	lastTick time.Time
 }
 
 func (o *observer) run(ctx context.Context) error {
 	o.subjects = map[netip.AddrPort]*subject{}
-	t := time.NewTicker(heartbeatEvery)
+	t := time.NewTicker(heartbeatInterval)
 	defer t.Stop()
 	changed := fleet.Immediately()
 	for {
 		select {
 		case <-changed:
 			changed = o.node.State.Changed()
-			o.assign(time.Now())
+			o.updateSubjects(time.Now())
 		case a := <-o.acks:
-			o.heard(a, time.Now())
+			o.handleAck(a, time.Now())
 		case <-t.C:
 			o.tick(time.Now())
 		case <-ctx.Done():
@@ -78,8 +91,8 @@
 	}
 }
 
-// assign finds the members that this balancer observes.
-func (o *observer) assign(now time.Time) {
+// updateSubjects determines which members this balancer observes.
+func (o *observer) updateSubjects(now time.Time) {
 	ms, _ := o.node.State.Snapshot()
 	doubts := o.node.State.Doubted()
 	self := o.node.Self().ID
@@ -87,30 +100,31 @@
 	o.subjects = map[netip.AddrPort]*subject{}
 	for i := range ms {
 		m := &ms[i]
-		if m.ID == self || m.Phase == fleet.PhaseLeft || !observes(self, m, ms, doubts) {
+		if m.ID == self || m.Phase == fleet.PhaseLeft || !isObserver(self, m, ms, doubts) {
 			continue
 		}
 		s := old[m.Link]
 		if s == nil || s.member.Incarnation != m.Incarnation {
-			s = &subject{heard: now}
+			s = &subject{lastAck: now}
 		}
 		s.member = *m
 		o.subjects[m.Link] = s
 	}
-	o.withdraw(old, now)
+	o.withdrawDoubts(old, now)
 }
 
-// withdraw takes back the doubts of members that others observe from now on:
-// nobody would ever clear them.
-func (o *observer) withdraw(old map[netip.AddrPort]*subject, now time.Time) {
+// withdrawDoubts clears this balancer's doubts about members that it no longer
+// observes. No other observer can clear them.
+func (o *observer) withdrawDoubts(old map[netip.AddrPort]*subject, now time.Time) {
 	for a, s := range old {
 		if s.doubted && o.subjects[a] == nil {
-			o.form(s, false, now)
+			o.publishOpinion(s, false, now)
 		}
 	}
 }
 
-func observes(self fleet.MemberID, m *fleet.Member, ms []fleet.Member, doubts map[fleet.MemberID]bool) bool {
+// isObserver reports whether the balancer self is an observer of the member m.
+func isObserver(self fleet.MemberID, m *fleet.Member, ms []fleet.Member, doubts map[fleet.MemberID]bool) bool {
 	for _, b := range fleet.Observers(m.ID, ms, doubts, m.Zone) {
 		if b.ID == self {
 			return true
@@ -119,44 +133,49 @@
 	return false
 }
 
-func (o *observer) heard(a ack, now time.Time) {
+// handleAck records an acknowledgement and clears a doubt. It ignores one of an
+// earlier incarnation of the member.
+func (o *observer) handleAck(a ack, now time.Time) {
 	s := o.subjects[a.from]
-	if s == nil || uint64(s.member.Incarnation) != a.life {
+	if s == nil || uint64(s.member.Incarnation) != a.incarnation {
 		return
 	}
-	s.heard = now
+	s.lastAck = now
 	if s.doubted {
-		o.form(s, false, now)
+		o.publishOpinion(s, false, now)
 	}
 }
 
+// tick sends a heartbeat to each subject and doubts those whose last
+// acknowledgement is older than ackTimeout.
 func (o *observer) tick(now time.Time) {
-	// After a pause of this process every member seems silent at once. It shows
-	// as a gap between ticks; the answers' clocks then start anew.
-	paused := !o.last.IsZero() && now.Sub(o.last) > pausedAfter
-	o.last = now
+	// After a pause of this process, such as a VM migration, every member appears
+	// silent. A gap between ticks shows the pause, and ackTimeout is then restarted
+	// for each member.
+	paused := !o.lastTick.IsZero() && now.Sub(o.lastTick) > pauseThreshold
+	o.lastTick = now
 	v := o.view.Load()
 	m := link.Message{Kind: link.KindHeartbeat, Zone: o.node.Self().Zone, Number: uint64(o.node.Self().Incarnation), Sent: uint32(now.Unix())}
 	var b [link.HeaderSize]byte
-	v.links[0].Put(b[:], &m)
+	v.linkKeys[0].Put(b[:], &m)
 	for a, s := range o.subjects {
 		if paused {
-			s.heard = now
+			s.lastAck = now
 		}
-		silent := now.Sub(s.heard) > silentAfter
-		if silent && (!s.doubted || now.Sub(s.told) > fleet.DoubtEvery) {
-			o.form(s, true, now)
+		silent := now.Sub(s.lastAck) > ackTimeout
+		if silent && (!s.doubted || now.Sub(s.publishedAt) > fleet.DoubtEvery) {
+			o.publishOpinion(s, true, now)
 		}
 		o.link.WriteToUDPAddrPort(b[:], a)
 	}
 }
 
-// form makes an opinion known.
-func (o *observer) form(s *subject, doubted bool, now time.Time) {
+// publishOpinion merges the opinion into the fleet state and logs it if it changed.
+func (o *observer) publishOpinion(s *subject, doubted bool, now time.Time) {
 	if s.doubted != doubted {
 		o.logOpinion(s, doubted, now)
 	}
-	s.doubted, s.told = doubted, now
+	s.doubted, s.publishedAt = doubted, now
 	o.node.State.Merge(fleet.Change{Opinions: []fleet.Opinion{{
 		Observer: o.node.Self().ID, Subject: s.member.ID, Life: s.member.Incarnation,
 		Doubted: doubted, Stamp: uint64(now.UnixMicro()),
@@ -168,5 +187,5 @@
 	if doubted {
 		id = events.MemberDoubted
 	}
-	o.log.Add(id, slog.String("member", string(s.member.ID)), slog.Duration("silent", now.Sub(s.heard)))
+	o.log.Add(id, slog.String("member", string(s.member.ID)), slog.Duration("silent", now.Sub(s.lastAck)))
 }
--- a/balancer/observer_test.go
+++ b/balancer/observer_test.go
@@ -22,21 +22,22 @@
 	n := peer.NewNode(fleet.NewState(nil), nil, nil, log, self)
 	n.State.Merge(fleet.Change{Members: ms})
 	var v atomic.Pointer[View]
-	v.Store(&View{links: link.NewKeys(keyring.Ring{secret})})
+	v.Store(&View{linkKeys: link.NewKeys(keyring.Ring{secret})})
 	return &observer{node: n, link: socket(t), view: &v, log: log}
 }
 
-// play ticks the observer from one time to another.
-func (o *observer) play(from time.Time, d time.Duration) time.Time {
-	for end := from.Add(d); from.Before(end); from = from.Add(heartbeatEvery) {
+// runTicks calls tick at each heartbeat interval of the duration and returns the
+// time of the next tick.
+func (o *observer) runTicks(from time.Time, d time.Duration) time.Time {
+	for end := from.Add(d); from.Before(end); from = from.Add(heartbeatInterval) {
 		o.tick(from)
 	}
 	return from
 }
 
-// A balancer's VM stands still for a minute, as they do when they are moved. When
-// it wakes every member seems silent for a minute; if it said so, and another one
-// had been moved as well, all agents would be held for dead at once.
+// A balancer's VM is paused for a minute, as in a live migration. Afterwards every
+// member appears to have been silent for a minute. If two balancers doubted all
+// members after such pauses, the fleet would consider every agent failed at once.
 func TestObserverThatStoodStillDoubtsNobody(t *testing.T) {
 	m := agentAt(1, 1, 1)
 	m.Incarnation = 5
@@ -45,45 +46,45 @@
 		pause, silent time.Duration
 		doubted       bool
 	}{
-		"the member is silent":        {0, 4 * time.Second, true},
-		"the observer stood still":    {time.Minute, time.Second, false},
-		"both, the member for longer": {time.Minute, 4 * time.Second, true},
+		"member silent":                       {0, 4 * time.Second, true},
+		"observer paused":                     {time.Minute, time.Second, false},
+		"observer paused, then member silent": {time.Minute, 4 * time.Second, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := testObserver(t, m)
-			o.assign(start)
-			now := o.play(start, time.Second)
-			o.heard(ack{from: m.Link, life: 5}, now)
-			now = o.play(now.Add(x.pause), x.silent)
+			o.updateSubjects(start)
+			now := o.runTicks(start, time.Second)
+			o.handleAck(ack{from: m.Link, incarnation: 5}, now)
+			now = o.runTicks(now.Add(x.pause), x.silent)
 			if s := o.subjects[m.Link]; s == nil || s.doubted != x.doubted {
-				t.Errorf("subject %+v", s)
+				t.Errorf("subject has the wrong doubt or is missing: %+v", s)
 			}
-			o.heard(ack{from: m.Link, life: 4}, now)
+			o.handleAck(ack{from: m.Link, incarnation: 4}, now)
 			if x.doubted != o.subjects[m.Link].doubted {
-				t.Error("an answer of an earlier life cleared the doubt")
+				t.Error("an acknowledgement of an earlier incarnation changed the doubt")
 			}
-			o.heard(ack{from: m.Link, life: 5}, now)
+			o.handleAck(ack{from: m.Link, incarnation: 5}, now)
 			if o.subjects[m.Link].doubted {
-				t.Error("an answer did not clear the doubt")
+				t.Error("an acknowledgement did not clear the doubt")
 			}
 		})
 	}
 }
 
-// A member moves to other observers while this one doubts it. Nobody else can
-// take this one's word back, so it must do so itself.
+// An observer stops observing a member that it doubts. Only the observer itself
+// can withdraw its opinion; otherwise the doubt would remain.
 func TestDoubtIsWithdrawnWithTheDuty(t *testing.T) {
 	m := agentAt(1, 1, 1)
 	m.Incarnation = 5
 	start := time.Unix(1_800_000_000, 0)
 	o := testObserver(t, m)
-	o.assign(start)
-	now := o.play(start, 4*time.Second)
+	o.updateSubjects(start)
+	now := o.runTicks(start, 4*time.Second)
 	m.Phase, m.Revision = fleet.PhaseLeft, 1
 	o.node.State.Merge(fleet.Change{Members: []fleet.Member{m}})
-	o.assign(now)
+	o.updateSubjects(now)
 	_, os := o.node.State.Snapshot()
 	if len(os) != 1 || os[0].Doubted {
-		t.Errorf("opinions %+v", os)
+		t.Errorf("opinions %+v, want one that does not doubt", os)
 	}
 }
