--- a/experiment/absence_test.go
+++ b/experiment/absence_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Guards against callers of a crashed upstream that wait for their deadlines.
+// Guards against requests that time out after their upstream has crashed. Its agent keeps
+// running and has to reset the flows at once.
 func TestCrashedUpstreamEndsItsFlowsAtOnce(t *testing.T) {
 	for seed := range uint64(10) {
 		w := site(t, seed, 4, 7, 200)
@@ -19,7 +20,8 @@
 	}
 }
 
-// Guards against the end of flows that an upstream took before its agent knew of its birth.
+// Guards against resets of flows that a restarted upstream accepted before its first
+// heartbeat, when its agent doesn't know of the restart yet.
 func TestUpstreamThatStartsAnewKeepsItsNewFlows(t *testing.T) {
 	for seed := range uint64(20) {
 		w := site(t, seed, 4, 7, 200)
--- a/experiment/cadence_test.go
+++ b/experiment/cadence_test.go
@@ -7,7 +7,7 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// Guards against control traffic that grows with the fleet beyond a node's share.
+// Guards against control traffic per VM that grows with the fleet beyond its limit.
 func TestControlTrafficStaysWithinANodesShare(t *testing.T) {
 	for name, balancers := range map[string]int{"10 and 60": 10, "25 and 150": 25, "50 and 300": 50} {
 		t.Run(name, func(t *testing.T) {
@@ -22,13 +22,14 @@
 			}
 			t.Logf("%d VMs: most %d B/s, mean %d B/s", len(w.heard), most, sum/len(w.heard))
 			if most > 13_000 {
-				t.Errorf("a node hears %d B/s", most)
+				t.Errorf("a VM receives %d B/s of control messages, want at most 13000", most)
 			}
 		})
 	}
 }
 
-// Guards against balancers that hear of an agent's death only when its next word is due.
+// Guards against balancers that notice a dead agent only when its next status is due.
+// In a large fleet, an agent sends its status to most balancers rarely.
 func TestDeathIsToldToTheWholeFleet(t *testing.T) {
 	w := site(t, 1, 30, 180, 0)
 	dead := w.agentsInOrder()[7]
@@ -37,19 +38,20 @@
 	w.run(w.now + 1500*time.Millisecond)
 	for _, v := range w.balancersInOrder() {
 		if s := v.b.Status(w.now - v.since); s.AgentsDoubted != 1 {
-			t.Errorf("balancer %v doubts %d agents", v.ip, s.AgentsDoubted)
+			t.Errorf("balancer %v doubts %d agents, want 1", v.ip, s.AgentsDoubted)
 		}
 	}
 	w.after(0, func() { dead.u.start(); dead.start() })
 	w.run(w.now + 3*time.Second)
 	for _, v := range w.balancersInOrder() {
 		if s := v.b.Status(w.now - v.since); s.AgentsDoubted != 0 {
-			t.Errorf("balancer %v still doubts it after its return", v.ip)
+			t.Errorf("balancer %v still doubts the agent after its restart", v.ip)
 		}
 	}
 }
 
-// Guards against a restarted balancer that waits for the agents that tell it seldom.
+// Guards against a restarted balancer that knows some agents only after the long status
+// interval of a large fleet.
 func TestRestartedBalancerHearsAllAgentsAtOnce(t *testing.T) {
 	w := site(t, 1, 30, 180, 0)
 	v := w.balancersInOrder()[3]
@@ -57,6 +59,6 @@
 	v.start()
 	w.run(w.now + 100*time.Millisecond)
 	if s := v.b.Status(w.now - v.since); s.AgentsHeard != 180 {
-		t.Errorf("%d agents of 180 heard after 0.1 s", s.AgentsHeard)
+		t.Errorf("received the status of %d agents within 0.1 s, want 180", s.AgentsHeard)
 	}
 }
--- a/experiment/caller.go
+++ b/experiment/caller.go
@@ -7,23 +7,23 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// caller keeps a flow open and asks on it again and again, with a new flow after
-// each failure, as the platform's clients do.
+// caller simulates a client of the platform. It sends requests over one open flow and
+// opens a new flow after each failure.
 type caller struct {
 	w        *world
-	at       datagram.Endpoint
-	pause    time.Duration
-	deadline time.Duration
-	aim      time.Duration
-	fresh    bool // a flow for each request
-	stopped  bool
+	at       datagram.Endpoint // source address and port; each flow has another port
+	pause    time.Duration     // mean time between an answer and the next request
+	deadline time.Duration     // time after which a request has failed
+	aim      time.Duration     // answers that take longer count as late
+	fresh    bool              // opens a new flow for each request
+	stopped  bool              // sends no further requests
 
 	seq, ack uint32
-	open     bool
-	request  int
-	try      int
-	began    time.Duration
-	waiting  bool
+	open     bool          // the flow is established
+	request  int           // number of the current request
+	try      int           // number of the current flow
+	began    time.Duration // start of the current request
+	waiting  bool          // the current request has no answer yet
 }
 
 func (w *world) addCaller(n int, pause time.Duration) *caller {
@@ -38,7 +38,7 @@
 
 func (c *caller) flow() datagram.Flow { return datagram.Flow{Caller: c.at, Address: worldAddress} }
 
-// ask begins a request.
+// startRequest starts a request and its timeout.
 func (c *caller) ask() {
 	if c.stopped {
 		return
@@ -68,12 +68,13 @@
 	c.dial()
 }
 
+// endRequest ends the current request and schedules the next one.
 func (c *caller) end() {
 	c.waiting = false
 	c.w.after(c.pause/2+time.Duration(c.w.rng.Int64N(int64(c.pause))), c.ask)
 }
 
-// close gives the flow up; the next one has another port.
+// closeFlow drops the current flow. The next flow uses another port.
 func (c *caller) close() {
 	delete(c.w.holders, c.flow())
 	delete(c.w.astray, c.flow())
@@ -81,6 +82,7 @@
 	c.try++
 }
 
+// openFlow opens a new flow. It sends the opening packet up to three times.
 func (c *caller) dial() {
 	c.close()
 	c.at.Port++
@@ -95,7 +97,8 @@
 	}
 }
 
-// send sends the request, again and again until it is answered.
+// sendRequest sends request n and repeats it, with a growing delay, until it is
+// answered or the flow is closed.
 func (c *caller) send(n, try int, again time.Duration) {
 	if !c.waiting || c.request != n || c.try != try {
 		return
@@ -104,7 +107,8 @@
 	c.w.after(again, func() { c.send(n, try, min(2*again, 1600*time.Millisecond)) })
 }
 
-// take handles a packet of an upstream, or a reset of the system's.
+// handlePacket handles a packet from an upstream, or a reset that the load balancer
+// itself sent.
 func (c *caller) take(b []byte, from *upstream) {
 	p, ok := platform.Packets{}.ParseOutbound(b)
 	if !ok || p.Flow != c.flow() {
@@ -134,7 +138,7 @@
 	}
 }
 
-// answered counts an answer that took so long.
+// recordAnswer counts an answer that arrived d after its request started.
 func (c *caller) answered(d time.Duration) {
 	w := c.w
 	w.waits = append(w.waits, d)
--- a/experiment/churn_test.go
+++ b/experiment/churn_test.go
@@ -8,12 +8,13 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// site makes a site of balancers and agents in three availability zones, with
-// callers, and lets it settle.
+// newSite creates a site of balancers, agents in three availability zones, and callers,
+// and runs it until it has settled.
 func site(t *testing.T, seed uint64, balancers, agents, callers int) *world {
 	return newSite(t, seed, balancers, agents, callers, datagram.PlaceIdler, 0)
 }
 
+// newSiteWithPlacement is newSite with the given placement and limit for busy agents.
 func newSite(t *testing.T, seed uint64, balancers, agents, callers int, p datagram.Placement, busyAt float64) *world {
 	t.Helper()
 	w, err := newWorld(seed)
@@ -36,6 +37,7 @@
 	return w
 }
 
+// checkBreaches fails the test if a guarantee to callers was violated.
 func (w *world) check(t *testing.T) {
 	t.Helper()
 	if len(w.breaches) > 0 {
@@ -43,6 +45,7 @@
 	}
 }
 
+// Guards against late or failed requests while there are no faults.
 func TestCalmSiteServesEverybody(t *testing.T) {
 	w := site(t, 1, 4, 7, 100)
 	w.run(30 * time.Second)
@@ -52,7 +55,8 @@
 	}
 }
 
-// Guards against a balancer that has just started and resets flows that live.
+// Guards against resets of live flows by a balancer that has just started and doesn't know
+// them yet, while messages are delayed.
 func TestBalancerThatJustStartedCutsNoFlow(t *testing.T) {
 	for seed := range uint64(20) {
 		w := site(t, seed, 3, 7, 120)
@@ -68,24 +72,25 @@
 	}
 }
 
-// Guards against callers that wait for their deadlines after a loss of power.
+// Guards against requests that time out after a power loss, because the flows that it
+// ended are not reset at once.
 func TestPowerLossEndsFlowsAtOnce(t *testing.T) {
 	for seed := range uint64(10) {
 		w := site(t, seed, 4, 7, 200)
 		w.powerLoss(time.Second)
-		// Requests that began half a second after the return have their deadlines
-		// a second later.
+		// Requests that start up to half a second after the return of power may fail.
+		// Their deadlines are a second later.
 		w.run(w.now + 2500*time.Millisecond)
 		failed := w.failed
 		w.run(w.now + 5*time.Second)
 		w.check(t)
 		if n := w.failed - failed; n > 0 {
-			t.Errorf("seed %d: %d requests failed that began after the return", seed, n)
+			t.Errorf("seed %d: %d requests that started after the return of power failed", seed, n)
 		}
 	}
 }
 
-// Guards against open flows that are cut or led astray when their agents are restarted.
+// Guards against open flows that are reset or misrouted when their agents are restarted.
 func TestAgentsRestartUnderOpenFlows(t *testing.T) {
 	for seed := range uint64(10) {
 		w := site(t, seed, 3, 7, 150)
@@ -98,18 +103,18 @@
 		w.run(w.now + 2*time.Second)
 		w.check(t)
 		if w.failed > w.answered/100 {
-			t.Errorf("seed %d: %d of %d failed", seed, w.failed, w.answered+w.failed)
+			t.Errorf("seed %d: %d of %d requests failed, want at most 1%%", seed, w.failed, w.answered+w.failed)
 		}
 	}
 }
 
-// Guards against lookups that end at an agent that is silent.
+// Guards against lookups by new balancers that fail because one agent doesn't answer.
 func TestLookupsPassSilentAgents(t *testing.T) {
 	for seed := range uint64(10) {
 		w := site(t, seed, 4, 7, 150)
 		n := 10
 		for _, a := range w.agentsInOrder() {
-			a.stop() // its upstream lives on
+			a.stop() // its upstream keeps running
 			break
 		}
 		for range 12 {
@@ -126,7 +131,7 @@
 	}
 }
 
-// Guards against openings at upstreams that drain, whatever balancers still believe.
+// Guards against openings at upstreams that drain while some balancers don't know it yet.
 func TestDrainingUpstreamsGetNoOpenings(t *testing.T) {
 	for seed := range uint64(5) {
 		w := site(t, seed, 3, 7, 150)
@@ -141,12 +146,13 @@
 		w.run(w.now + 6*time.Second)
 		w.check(t)
 		if w.failed > 0 {
-			t.Errorf("seed %d: %d failed", seed, w.failed)
+			t.Errorf("seed %d: %d requests failed", seed, w.failed)
 		}
 	}
 }
 
-// Guards against openings in a zone that is out, and against the end of others' flows.
+// Guards against openings in an availability zone that is out of service, and against
+// requests that fail because of it.
 func TestZoneOutStopsOpenings(t *testing.T) {
 	for seed := range uint64(5) {
 		w := site(t, seed, 3, 9, 150)
@@ -155,7 +161,7 @@
 		n := 0
 		for _, v := range w.balancersInOrder() {
 			if n++; n == 1 {
-				continue // it learns from the others
+				continue // it learns of the change from the others
 			}
 			w.after(time.Duration(n)*300*time.Millisecond, func() { v.b.SetZonesOut(w.out, w.revision, w.now-v.since) })
 		}
@@ -164,12 +170,13 @@
 		failed := w.failed
 		w.run(w.now + 5*time.Second)
 		if w.failed > failed {
-			t.Errorf("seed %d: %d failed ten seconds after the zone went out", seed, w.failed-failed)
+			t.Errorf("seed %d: %d requests failed later than 10 s after the zone was taken out", seed, w.failed-failed)
 		}
 	}
 }
 
-// Guards against flows that break by lost datagrams and the deaths of balancers.
+// Guards against flows that are reset or misrouted when datagrams are lost while a
+// balancer is restarted.
 func TestLossAndDeathsBreakNothing(t *testing.T) {
 	for seed := range uint64(10) {
 		w := site(t, seed, 4, 7, 150)
@@ -187,7 +194,8 @@
 	}
 }
 
-// Guards against openings that wait for a dead VM until its record is removed.
+// Guards against openings that are sent to a dead VM until its record is removed from the
+// store.
 func TestDeadAgentCostsOneOpeningEach(t *testing.T) {
 	w := site(t, 3, 4, 7, 200)
 	for _, v := range w.agentsInOrder() {
@@ -195,11 +203,11 @@
 		v.u.crash()
 		break
 	}
-	w.run(w.now + 2500*time.Millisecond) // its own flows end in this time
+	w.run(w.now + 2500*time.Millisecond) // the flows of the dead VM end in this time
 	late, failed := w.late, w.failed
 	w.run(w.now + 10*time.Second)
 	w.check(t)
 	if w.late > late+w.answered/500 || w.failed > failed {
-		t.Errorf("%d late and %d failed of %d after the death", w.late-late, w.failed-failed, w.answered)
+		t.Errorf("%d requests late and %d failed after the VM died, of %d answered", w.late-late, w.failed-failed, w.answered)
 	}
 }
--- a/experiment/cutoff_test.go
+++ b/experiment/cutoff_test.go
@@ -7,14 +7,15 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// Guards against callers of a balancer that is cut off from the fleet and goes on serving.
+// Guards against requests that fail because a balancer that is cut off from the fleet
+// remains ready, so that the router keeps sending it flows.
 func TestBalancerThatIsCutOffLeaves(t *testing.T) {
 	for name, x := range map[string]struct {
 		balancers, agents int
-		within            time.Duration // it leaves, and then what was lost has its deadlines
+		within            time.Duration // time until the balancer must have stopped being ready
 	}{
-		"all are near": {6, 7, 900 * time.Millisecond},
-		"most are far": {23, 60, 2700 * time.Millisecond},
+		"small fleet with frequent statuses": {6, 7, 900 * time.Millisecond},
+		"large fleet with rare statuses":     {23, 60, 2700 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(5) {
@@ -26,23 +27,24 @@
 				w.run(w.now + 4*time.Second)
 				w.check(t)
 				if n := w.failed - failed; n > 0 {
-					t.Errorf("seed %d: %d requests failed after that", seed, n)
+					t.Errorf("seed %d: %d requests failed after the balancer should have stopped being ready", seed, n)
 				}
 				w.cut = nil
 				w.run(w.now + time.Second)
 				if !v.b.Ready() {
-					t.Errorf("seed %d: it is not ready after the cut", seed)
+					t.Errorf("seed %d: the balancer is not ready after the partition has ended", seed)
 				}
 			}
 		})
 	}
 }
 
-// Guards against openings that are refused while the VMs of their service return.
+// Guards against balancers that assume that they are cut off when all agents of a service
+// have died, and refuse openings instead of holding them until an agent returns.
 func TestServiceThatDiedIsNoCut(t *testing.T) {
 	for name, x := range map[string]struct{ balancers, agents int }{
-		"all are near": {4, 3},
-		"most are far": {23, 60},
+		"small fleet with frequent statuses": {4, 3},
+		"large fleet with rare statuses":     {23, 60},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := site(t, 1, x.balancers, x.agents, 60)
@@ -60,17 +62,17 @@
 	}
 }
 
-// Guards against openings that wait at a balancer that is cut off, and against the refusal
-// of one that an agent may have taken.
+// Guards against openings that are held by a balancer that is cut off instead of refused,
+// and against refusing an opening that an agent may have accepted already.
 func TestBalancerThatIsCutOffRefusesOpenings(t *testing.T) {
 	for name, x := range map[string]struct {
-		before bool // the opening came first when the balancer was not cut off
-		paused bool // the balancer stood still and was not cut off
+		before bool // the opening is first sent before the balancer notices the partition
+		paused bool // the balancer was paused and not cut off
 		resets int
 	}{
-		"new":                   {false, false, 1},
-		"given to an agent":     {true, false, 0},
-		"this balancer's pause": {false, true, 0},
+		"new opening":                        {false, false, 1},
+		"opening already passed to an agent": {true, false, 0},
+		"balancer paused and not cut off":    {false, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := site(t, 1, 4, 7, 0)
@@ -93,7 +95,7 @@
 			resets := v.b.Status(w.now - v.since).Counts.Resets
 			open()
 			if n := v.b.Status(w.now-v.since).Counts.Resets - resets; int(n) != x.resets {
-				t.Errorf("%d resets", n)
+				t.Errorf("sending the opening caused %d resets", n)
 			}
 		})
 	}
--- a/experiment/days_test.go
+++ b/experiment/days_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Guards against the return of faults that a drawn day has found. Each script names the
-// site, the seed and the cause.
+// Guards against the return of bugs that days with drawn faults have found. The first line
+// of each script gives the site, the seed and the cause.
 func TestDaysThatBrokeAPromise(t *testing.T) {
 	files, err := filepath.Glob("testdata/days/*.script")
 	if err != nil || len(files) == 0 {
--- a/experiment/draw.go
+++ b/experiment/draw.go
@@ -9,19 +9,22 @@
 	"time"
 )
 
-// Drawn days have any faults at any time, twice or at once too. One that breaks a promise
-// is played again with fewer faults until each of those left is needed for it.
+// A day with drawn faults has random faults at random times; faults may repeat and overlap.
+// A day with breaches is simulated again with fewer faults, until removing any of the
+// remaining faults would avoid the breaches.
 
-// drawSalt keeps the faults apart from the rest of a day with the same seed.
+// drawSalt makes the random sequence of the faults independent of the one that the
+// simulation uses for the same seed.
 const drawSalt = 0x64726177
 
-// lead and tail are the parts of a day without drawn faults, in which it settles.
+// faultFreeStart and faultFreeEnd are the parts of a day without drawn faults, in which
+// the site reaches or returns to normal operation.
 const (
 	lead = time.Second
 	tail = 4 * time.Second
 )
 
-// draw returns the lines of a script with n faults.
+// drawScript returns the lines of a script with n random faults.
 func (o *Options) draw(seed uint64, n int) []string {
 	r := rand.New(rand.NewPCG(seed, drawSalt))
 	var out []string
@@ -32,7 +35,7 @@
 	return out
 }
 
-// drawFault returns the lines of one fault.
+// drawFault returns the script lines of one random fault that starts at the given time.
 func (o *Options) drawFault(r *rand.Rand, at time.Duration) []string {
 	lasts := time.Duration(200+r.IntN(2800)) * time.Millisecond
 	agents, balancers := 1+r.IntN(max(1, o.Agents/4)), 1+r.IntN(max(1, o.Balancers/2))
@@ -57,7 +60,8 @@
 	}
 }
 
-// playDrawn plays a day of drawn faults, with as few of them as still break a promise.
+// simulateDrawn simulates a day with drawn faults. If the day has breaches, it returns
+// the day with the smallest set of faults found that still causes a breach.
 func (o *Options) playDrawn(p Policy, seed uint64) (Day, error) {
 	lines := o.draw(seed, o.Draw)
 	d, err := o.playLines(p, seed, lines)
@@ -75,7 +79,8 @@
 	return d, err
 }
 
-// fewest leaves lines out, one after another, as long as the others still break something.
+// minimize removes lines, one after another, as long as breaks returns true for the
+// remaining lines.
 func fewest(lines []string, breaks func([]string) bool) []string {
 	for i := 0; i < len(lines); {
 		fewer := slices.Delete(slices.Clone(lines), i, i+1)
@@ -88,6 +93,7 @@
 	return lines
 }
 
+// simulateLines simulates a day with the faults of the script lines.
 func (o *Options) playLines(p Policy, seed uint64, lines []string) (Day, error) {
 	fs, err := parseScript(strings.NewReader(strings.Join(lines, "\n")), o.Zones)
 	if err != nil {
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -8,7 +8,7 @@
 )
 
 const testScript = `
-# everything at once, and then again
+# overlapping faults
 2s power 700ms
 5s lose 1
 6s out zone-1      # and back
@@ -25,7 +25,8 @@
 	return Options{Balancers: 4, Agents: 7, Zones: 3, Callers: 100, Length: 12 * time.Second, Seed: 3, Days: 1}
 }
 
-// Guards against days that differ with the same seed where few balancers are near an agent.
+// Guards against days that differ with the same seed in a larger fleet, where each agent
+// sends frequent statuses to some of the balancers only.
 func TestDayOfALargerSiteIsTheSameWithTheSameSeed(t *testing.T) {
 	o := testOptions()
 	o.Balancers, o.Agents, o.Callers = 10, 20, 300
@@ -43,7 +44,7 @@
 		totals[i] = d.Total
 	}
 	if totals[1] != totals[0] || totals[2] != totals[0] {
-		t.Errorf("%+v", totals)
+		t.Errorf("totals differ with the same seed: %+v", totals)
 	}
 }
 
@@ -64,48 +65,49 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(first, again) {
-			t.Fatalf("%+v\nand then\n%+v", first.Total, again.Total)
+			t.Fatalf("two days with the same seed differ:\n%+v\n%+v", first.Total, again.Total)
 		}
 	}
 	if len(first.Breaches) > 0 {
 		t.Errorf("breaches: %v", first.Breaches)
 	}
 	if x := first.Total; x.Begun < 1000 || x.InAim+x.Late+x.Failed > x.Begun || first.Resets == 0 {
-		t.Errorf("%+v, %d resets", x, first.Resets)
+		t.Errorf("implausible totals: %+v, %d resets", x, first.Resets)
 	}
 	if len(first.Seconds) != 12 || first.ControlMost < first.ControlMean || first.ControlMean == 0 {
-		t.Errorf("%d seconds, control %d and %d", len(first.Seconds), first.ControlMost, first.ControlMean)
+		t.Errorf("%d seconds, want 12; control traffic: maximum %d B/s, mean %d B/s", len(first.Seconds), first.ControlMost, first.ControlMean)
 	}
 }
 
-// Guards against findings in a script that are not told, or without their lines.
+// Guards against errors in a script that are not reported, or without their line numbers.
 func TestScriptFindings(t *testing.T) {
 	for name, x := range map[string]struct{ text, want string }{
-		"no fault":     {"1s powr 1s", `line 1: "powr" is no fault`},
-		"no time":      {"\nsoon kill 1s", `line 2: "soon" is no duration`},
-		"no number":    {"1s lose 0", `line 1: "0" is no number above 0`},
-		"no share":     {"1s loss 2 1s", `line 1: "2" is no share`},
-		"not a number": {"1s loss NaN 1s", `line 1: "NaN" is no share`},
-		"no zone":      {"1s out zone-7", `line 1: "zone-7" is no availability zone`},
-		"too little":   {"1s cut 1", "line 1: something is missing"},
-		"too much":     {"1s drain 1 1", `line 1: "1" is too much`},
-		"nothing":      {"1s", "line 1: something is missing"},
+		"unknown fault":       {"1s powr 1s", `line 1: "powr" is not a known fault`},
+		"invalid time":        {"\nsoon kill 1s", `line 2: "soon" is not a duration`},
+		"count of 0":          {"1s lose 0", `line 1: "0" is not a whole number above 0`},
+		"share above 1":       {"1s loss 2 1s", `line 1: "2" is not a share`},
+		"share is NaN":        {"1s loss NaN 1s", `line 1: "NaN" is not a share`},
+		"unknown zone":        {"1s out zone-7", `line 1: "zone-7" is not an availability zone`},
+		"missing argument":    {"1s cut 1", "line 1: an argument is missing"},
+		"unexpected argument": {"1s drain 1 1", `line 1: "1" is an unexpected argument`},
+		"missing fault":       {"1s", "line 1: an argument is missing"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := parseScript(strings.NewReader(x.text), 3)
 			if err == nil || !strings.Contains(err.Error(), x.want) {
-				t.Errorf("%v, want %s", err, x.want)
+				t.Errorf("got error %v, want %s", err, x.want)
 			}
 		})
 	}
 }
 
+// Guards against errors in the options that are not reported with their flags.
 func TestOptionsNameWhatIsWrong(t *testing.T) {
 	o := Options{Policy: []Policy{"odd"}, Small: 1, Cores: -1, Link: -1, Draw: -1}
 	err := o.Validate()
 	for _, f := range []string{"--balancers", "--small", "--cores", "--link", "--agents", "--zones", "--draw", "--length", "--days", "--policy"} {
 		if err == nil || !strings.Contains(err.Error(), f) {
-			t.Errorf("%v does not name %s", err, f)
+			t.Errorf("error %v does not name the flag %s", err, f)
 		}
 	}
 	o = testOptions()
@@ -114,13 +116,15 @@
 	}
 }
 
+// Guards against a valid script with a fault that does nothing, and against panics of the
+// parser.
 func FuzzScript(f *testing.F) {
 	f.Add(testScript)
 	f.Fuzz(func(t *testing.T, text string) {
 		fs, err := parseScript(strings.NewReader(text), 3)
 		for _, x := range fs {
 			if err == nil && x.do == nil {
-				t.Errorf("%+v does nothing", x)
+				t.Errorf("fault %+v does nothing", x)
 			}
 		}
 	})
--- a/experiment/faults.go
+++ b/experiment/faults.go
@@ -6,7 +6,8 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// powerLoss stops everything for d; each VM starts within 0.3 s then.
+// powerLoss stops all balancers, agents and upstreams for d. Each VM then starts within
+// another 0.3 s.
 func (w *world) powerLoss(d time.Duration) {
 	for _, v := range w.balancersInOrder() {
 		v.stop()
@@ -27,7 +28,8 @@
 	}
 }
 
-// killAll ends every process; upstreams live on, and processes are back after d.
+// killAll stops every balancer and agent process and starts them again after d. Upstreams
+// keep running.
 func (w *world) killAll(d time.Duration) {
 	w.restart(len(w.balancers), d)
 	for _, v := range w.agentsInOrder() {
@@ -39,7 +41,8 @@
 	}
 }
 
-// restart ends n balancers, of different places in the order of addresses, for d.
+// restartBalancers stops n balancers, evenly spaced in the order of addresses, and starts
+// them again after d.
 func (w *world) restart(n int, d time.Duration) {
 	for _, v := range spread(w.balancersInOrder(), n) {
 		v.stop()
@@ -47,8 +50,9 @@
 	}
 }
 
-// each does something to n agents' VMs that live, of different places in the order of
-// addresses, so that a day hits several availability zones.
+// forEachLiveAgent calls do for n agent VMs that run and whose upstreams run and do not
+// drain. The VMs are evenly spaced in the order of addresses, so that a fault affects
+// several availability zones.
 func (w *world) each(n int, do func(*agentVM)) {
 	var live []*agentVM
 	for _, v := range w.agentsInOrder() {
@@ -61,7 +65,8 @@
 	}
 }
 
-// spread returns n of the VMs, or all, as far from each other in their order as they can be.
+// evenlySpaced returns n of the VMs, or all if there are fewer, at even distances in
+// their order.
 func spread[V any](vs []V, n int) []V {
 	n = min(n, len(vs))
 	out := make([]V, 0, n)
@@ -71,20 +76,21 @@
 	return out
 }
 
-// lose takes the VM away for good.
+// lose stops the VM and its upstream permanently.
 func (v *agentVM) lose() {
 	v.lost = true
 	v.stop()
 	v.u.crash()
 }
 
-// crash ends the upstream alone.
+// crash stops the upstream; its agent keeps running.
 func (v *agentVM) crash() { v.u.crash() }
 
-// drain has the upstream say with its next heartbeat that it leaves.
+// drain makes the upstream announce with its next heartbeat that it drains.
 func (v *agentVM) drain() { v.u.draining = true }
 
-// cutOff cuts n balancers off from all VMs but each other, for d.
+// partition cuts the first n balancers off from all other VMs for d. They can still reach
+// each other and callers.
 func (w *world) cutOff(n int, d time.Duration) {
 	w.cut = map[datagram.IP]bool{}
 	for i, v := range w.balancersInOrder() {
@@ -95,7 +101,7 @@
 	w.after(d, func() { w.cut = nil })
 }
 
-// burst adds n callers for d.
+// burst adds n callers that stop after d.
 func (w *world) burst(n int, d time.Duration) {
 	first := len(w.callers)
 	for i := range n {
@@ -104,13 +110,13 @@
 	}
 }
 
-// lossy loses a share of the datagrams between VMs for d.
+// loseDatagrams drops the given share of the datagrams between VMs for d.
 func (w *world) lossy(share float64, d time.Duration) {
 	w.loss = share
 	w.after(d, func() { w.loss = 0 })
 }
 
-// freeze has n balancers stand still for d. What comes meanwhile waits for them.
+// freeze pauses n balancers for d. Datagrams that arrive meanwhile are queued.
 func (w *world) freeze(n int, d time.Duration) {
 	for _, v := range spread(w.balancersInOrder(), n) {
 		if !v.up || v.frozen {
@@ -121,7 +127,8 @@
 	}
 }
 
-// slowStore has the store answer balancers that start after wait, for d.
+// slowStore sets the latency of the store for balancers and agents that start within the
+// next d.
 func (w *world) slowStore(wait, d time.Duration) {
 	w.storeRead = wait
 	w.after(d, func() { w.storeRead = 0 })
--- a/experiment/load_test.go
+++ b/experiment/load_test.go
@@ -7,10 +7,11 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// Guards against upstreams that get several times their share when all callers return.
+// Guards against upstreams that receive several times their share of the flows when all
+// callers reconnect after a power loss.
 //
-// Counted are requests that began in the second after the return, those answered inside
-// their aim, and those that upstreams shed.
+// The test counts the requests that start in the second after the return of power, those
+// of them answered within the target latency, and the attempts that upstreams shed.
 func TestReturnOfAllCallersIsSpread(t *testing.T) {
 	type outcome struct{ begun, inAim, shed int }
 	play := func(p datagram.Placement, busyAt float64) (o outcome) {
@@ -31,19 +32,19 @@
 	hash := play(datagram.PlaceByHash, -1)
 	status := play(datagram.PlaceIdler, -1)
 	gate := play(datagram.PlaceIdler, 0)
-	t.Logf("by hash %+v, by status %+v, with the agents' gate %+v", hash, status, gate)
+	t.Logf("by hash %+v, by load %+v, by load with agents that decline when busy %+v", hash, status, gate)
 	if gate.shed > 0 {
-		t.Errorf("%d requests were shed by upstreams", gate.shed)
+		t.Errorf("upstreams shed %d requests, want none", gate.shed)
 	}
 	if hash.shed == 0 {
-		t.Error("the day is no test: even the choice by hash sheds nothing")
+		t.Error("the load is too low to test anything: even placement by hash sheds nothing")
 	}
 	if gate.inAim*hash.begun*100 < hash.inAim*gate.begun*98 {
-		t.Error("requests pay for it with their aim")
+		t.Error("declining when busy costs more than 2% of the answers within the target latency")
 	}
 }
 
-// Guards against long feeds that gather at few upstreams.
+// Guards against long-lived flows that concentrate on few upstreams.
 func TestFeedsAreSpread(t *testing.T) {
 	for seed := range uint64(5) {
 		w := site(t, seed, 4, 7, 0)
@@ -62,9 +63,9 @@
 			most, sum = max(most, n), sum+n
 		}
 		if x := float64(most) * 7 / float64(sum); x > 1.2 {
-			t.Errorf("seed %d: busiest over mean %.2f", seed, x)
+			t.Errorf("seed %d: the busiest upstream has %.2f times the mean number of flows", seed, x)
 		} else {
-			t.Logf("seed %d: busiest over mean %.2f", seed, x)
+			t.Logf("seed %d: the busiest upstream has %.2f times the mean number of flows", seed, x)
 		}
 	}
 }
--- a/experiment/moved_test.go
+++ b/experiment/moved_test.go
@@ -8,8 +8,8 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// movedSite is a site whose route led to one service, and leads to another after it was
-// moved; a third is never led to.
+// newMovedSite creates a site with upstreams of three services. The returned function
+// moves the route between the first two; the route never leads to the third.
 func movedSite(t *testing.T, seed uint64) (w *world, move func()) {
 	t.Helper()
 	w = site(t, seed, 3, 5, 0)
@@ -36,8 +36,8 @@
 	}
 }
 
-// Guards against a flow that is reset, or led to a foreign service, by a balancer that
-// never saw the configuration under which it was opened.
+// Guards against flows that are reset, or sent to another service, by a balancer that never
+// had the configuration under which the flow was opened.
 func TestFlowsOfAMovedRouteGoOn(t *testing.T) {
 	for name, harm := range map[string]func(w *world){
 		"balancers restarted one after another": func(w *world) {
@@ -57,7 +57,7 @@
 				w.run(w.now + 600*time.Millisecond)
 			}
 		},
-		"a balancer cut off and restarted": func(w *world) {
+		"a balancer cut off, then restarted": func(w *world) {
 			w.cutOff(1, time.Second)
 			w.run(w.now + 300*time.Millisecond)
 			v := w.balancersInOrder()[0]
@@ -82,8 +82,8 @@
 	}
 }
 
-// Guards against a route that is dropped and added again, for another service, between
-// two lives of a balancer.
+// Guards against flows that are reset or misrouted when their route is removed, and added
+// again for another service while a balancer is down.
 func TestFlowsOfARouteThatWasAddedAgainGoOn(t *testing.T) {
 	for seed := range uint64(6) {
 		w, _ := movedSite(t, seed)
@@ -99,7 +99,7 @@
 	}
 }
 
-// lookupsOf returns how many flows all balancers have looked for.
+// lookupCount returns the number of lookups by all balancers.
 func (w *world) lookupsOf() (n uint64) {
 	for _, v := range w.balancersInOrder() {
 		n += v.b.Status(w.now - v.since).Counts.Lookups
@@ -107,8 +107,8 @@
 	return n
 }
 
-// Guards against lookups whose cost grows with the fleet: for flows that live, after
-// their balancers were restarted, and for flows that are gone.
+// Guards against lookups that need more messages in a larger fleet. It measures lookups of
+// live flows after balancers were restarted, and of lost flows after a power loss.
 func TestLookupCostsTheSameInAnyFleet(t *testing.T) {
 	sizes := []int{10, 50, 250}
 	if !testing.Short() {
@@ -124,9 +124,9 @@
 				w.run(w.now + 3*time.Second)
 				n := float64(w.lookupsOf() - before)
 				per := float64(w.lookups.messages) / n
-				t.Logf("%d upstreams, flows that %s: %v lookups, %.1f messages and %.0f B each", agents, what, n, per, float64(w.lookups.bytes)/n)
+				t.Logf("%d upstreams, %s flows: %v lookups, %.1f messages and %.0f B each", agents, what, n, per, float64(w.lookups.bytes)/n)
 				if n < 20 || per > most {
-					t.Errorf("flows that %s: %.1f messages each for %v lookups, want at most %v", what, per, n, most)
+					t.Errorf("%s flows: %.1f messages per lookup in %v lookups, want at most %v messages and at least 20 lookups", what, per, n, most)
 				}
 			}
 			measure("live", 2*livingLookup, func() {
@@ -136,19 +136,19 @@
 				}
 				w.run(w.now + 20*time.Millisecond)
 			})
-			measure("are gone", 4*livingLookup, func() { w.powerLoss(500 * time.Millisecond); w.run(w.now + 500*time.Millisecond) })
+			measure("lost", 4*livingLookup, func() { w.powerLoss(500 * time.Millisecond); w.run(w.now + 500*time.Millisecond) })
 			w.check(t)
 		})
 	}
 }
 
-// livingLookup is the messages of the plainest lookup: two homes, their answers, the
-// packet to the agent and its word.
+// liveLookupMessages is the number of messages of the simplest lookup: requests to the two
+// home balancers of the flow, their answers, the packet to the agent and its answer.
 const livingLookup = 6
 
-// Guards against callers of lost flows that are told nothing, since processes know
-// different balancers for some seconds after one has died: only flows that had it for a
-// home have to wait.
+// Guards against lost flows that are not reset for some seconds after a balancer has died,
+// because processes then know different sets of balancers. Only flows that had the dead
+// balancer as a home may have to wait.
 func TestDeadBalancerHoldsUpItsOwnFlowsOnly(t *testing.T) {
 	lost, waited := 0, 0
 	for seed := range uint64(5) {
@@ -156,7 +156,7 @@
 		dead := w.balancersInOrder()[3]
 		dead.stop()
 		delete(w.balancers, dead.ip)
-		w.addAgent(50, "zone-1").tick() // it never hears of the dead one
+		w.addAgent(50, "zone-1").tick() // it never learns of the dead balancer
 		w.run(w.now + 2*time.Second)
 		v := w.agentsInOrder()[seed%12]
 		for _, h := range w.holders {
@@ -174,8 +174,8 @@
 		w.check(t)
 		waited += w.failed - failed
 	}
-	t.Logf("%d of %d lost flows held up their callers", waited, lost)
+	t.Logf("%d requests failed on %d lost flows", waited, lost)
 	if lost < 50 || waited*3 > lost {
-		t.Errorf("%d of %d lost flows held up their callers, want about a fifth", waited, lost)
+		t.Errorf("%d requests failed on %d lost flows, want at least 50 flows and at most a third failed (about a fifth is expected)", waited, lost)
 	}
 }
--- a/experiment/options.go
+++ b/experiment/options.go
@@ -1,7 +1,8 @@
-// Package experiment plays days of a datagram service in memory: balancers and agents by
-// their real decisions, upstreams, callers and a router as stand-ins, and a clock that
-// jumps from event to event. A day is the same whenever it is played with the same seed.
-// It answers what a change does to callers in each second, before it meets a network.
+// Package experiment is a discrete-event simulation of a datagram service in memory.
+// Balancers and agents run their production decision logic; upstreams, callers and the
+// router are simulated. One simulated run is called a day. The same seed always gives the
+// same day. The results show, for each second, how a change affects callers before it is
+// tried on a network.
 package experiment
 
 import (
@@ -13,41 +14,42 @@
 
 // Options are the settings of an experiment.
 type Options struct {
-	Balancers int           `help:"Balancers of the site." default:"10" group:"Site"`
-	Small     int           `help:"Of them, how many are small VMs." group:"Site"`
-	Cores     float64       `help:"Share of a core that a small VM has; 0 for no bound." default:"0.0625" group:"Site"`
-	Link      float64       `help:"Bandwidth of a small VM's link in Mbit/s, each way; 0 for no bound." default:"10" group:"Site"`
-	Agents    int           `help:"Upstreams, each with its agent." default:"20" group:"Site"`
-	Zones     int           `help:"Availability zones that they are spread over." default:"3" group:"Site"`
-	Callers   int           `help:"Callers with a request a second each; 0 for 40 an upstream." group:"Site"`
-	Script    string        `help:"File with the day's faults, a line each; see docs/DEVELOPERS.md." type:"existingfile" placeholder:"FILE" group:"Day"`
-	Draw      int           `help:"Faults drawn at random for each day by its seed, in place of a script." placeholder:"N" group:"Day"`
-	Length    time.Duration `help:"How long the day is." default:"30s" group:"Day"`
+	Balancers int           `help:"Number of balancers." default:"10" group:"Site"`
+	Small     int           `help:"Number of the balancers that run on small VMs." group:"Site"`
+	Cores     float64       `help:"Share of a core that a small VM has; 0 for no limit." default:"0.0625" group:"Site"`
+	Link      float64       `help:"Bandwidth of a small VM's link in Mbit/s, each way; 0 for no limit." default:"10" group:"Site"`
+	Agents    int           `help:"Number of upstreams, each with its agent." default:"20" group:"Site"`
+	Zones     int           `help:"Number of availability zones that the upstreams are distributed over." default:"3" group:"Site"`
+	Callers   int           `help:"Number of callers, each with about one request per second; 0 for 40 per upstream." group:"Site"`
+	Script    string        `help:"File with the faults of the day, one per line; see docs/DEVELOPERS.md." type:"existingfile" placeholder:"FILE" group:"Day"`
+	Draw      int           `help:"Number of random faults for each day, drawn from its seed, instead of a script." placeholder:"N" group:"Day"`
+	Length    time.Duration `help:"Length of a day, which is one simulated run." default:"30s" group:"Day"`
 	Seed      uint64        `help:"Seed of the first day." default:"1" group:"Day"`
-	Days      int           `help:"Days for each policy, each with the next seed." default:"1" group:"Day"`
-	Policy    []Policy      `help:"How openings are placed (idler, hash, ungated); days are played for each." default:"idler" group:"Day"`
+	Days      int           `help:"Number of days for each policy, each with the next seed." default:"1" group:"Day"`
+	Policy    []Policy      `help:"How upstreams are chosen for openings (idler, hash, ungated); days are simulated for each." default:"idler" group:"Day"`
 	Report    string        `help:"File for the report as JSON; - for standard output." placeholder:"FILE" group:"Output"`
-	Plot      string        `help:"File for a plot of each second, as SVG." placeholder:"FILE" group:"Output"`
+	Plot      string        `help:"File for a plot of the answers in each second, as SVG." placeholder:"FILE" group:"Output"`
 }
 
-// Policy is how openings are placed.
+// Policy is how balancers choose the upstream of a new flow.
 type Policy string
 
 // Policies.
 const (
-	// PolicyIdler is the product's: the idler of two, and agents that decline when busy.
+	// PolicyIdler is the policy used in production: a balancer chooses the less loaded of
+	// two agents, and agents decline openings when busy.
 	PolicyIdler Policy = "idler"
-	// PolicyHash takes the agent that the hash ranks first; agents decline nothing.
+	// PolicyHash chooses the agent that the hash ranks first; agents never decline for load.
 	PolicyHash Policy = "hash"
-	// PolicyUngated is PolicyIdler with agents that decline nothing.
+	// PolicyUngated is PolicyIdler with agents that never decline for load.
 	PolicyUngated Policy = "ungated"
 )
 
-// never is a limit that no upstream reaches.
+// neverBusy is a limit for requests per slot that turns off declining for load.
 const never = -1
 
-// placement returns how balancers choose and how many requests a slot make an agent
-// busy; 0 is the product's own limit.
+// placement returns how balancers choose agents, and from how many requests per slot on
+// an agent is busy; 0 selects the production limit.
 func (p Policy) placement() (datagram.Placement, float64) {
 	switch p {
 	case PolicyHash:
@@ -59,17 +61,17 @@
 }
 
 const (
-	// mostVMs bounds a site to the largest one planned for, with room to spare.
+	// maxVMs exceeds the largest site planned for.
 	mostVMs = 4000
-	// callersEach is two fifths of what an upstream's five slots do in a second.
+	// callersPerUpstream loads an upstream's five slots to some two fifths of their capacity.
 	callersEach = 40
-	// mostCallers bounds a day's memory to some 2 GB.
+	// maxCallers limits the memory of a day to about 2 GB.
 	mostCallers = 200_000
-	// mostLength bounds a day to what a flow may live, ten times.
+	// maxLength is ten times the longest lifetime of a flow.
 	mostLength = 10 * time.Minute
 )
 
-// Validate returns all that is wrong with the settings, each with its flag.
+// Validate returns all errors in the settings, each with its flag.
 func (o *Options) Validate() error {
 	var f settings.Faults
 	f.Want(o.Balancers > 0 && o.Balancers <= mostVMs, "--balancers", "must be 1 to 4000")
@@ -77,19 +79,19 @@
 	f.Want(o.Cores >= 0, "--cores", "must be 0 or more")
 	f.Want(o.Link >= 0, "--link", "must be 0 or more")
 	f.Want(o.Agents > 0 && o.Agents <= mostVMs, "--agents", "must be 1 to 4000")
-	f.Want(o.Zones > 0 && o.Zones <= o.Agents, "--zones", "must be 1 or more, and no more than agents")
+	f.Want(o.Zones > 0 && o.Zones <= o.Agents, "--zones", "must be 1 to the number of agents")
 	f.Want(o.Callers >= 0 && o.Callers <= mostCallers, "--callers", "must be 0 to 200000")
 	f.Want(o.Draw >= 0, "--draw", "must be 0 or more")
 	f.Want(o.Draw == 0 || o.Script == "", "--draw", "can't be used together with --script")
 	f.Want(o.Length >= time.Second && o.Length <= mostLength, "--length", "must be 1s to 10m")
 	f.Want(o.Days > 0, "--days", "must be 1 or more")
 	for _, p := range o.Policy {
-		f.Want(p == PolicyIdler || p == PolicyHash || p == PolicyUngated, "--policy", "must be of idler, hash, ungated, not "+string(p))
+		f.Want(p == PolicyIdler || p == PolicyHash || p == PolicyUngated, "--policy", "must be idler, hash or ungated, not "+string(p))
 	}
 	return f.All()
 }
 
-// small returns the size of a small VM.
+// smallVMSize returns the size of a small VM.
 func (o *Options) small() size {
 	s := size{link: o.Link * bytesOfMegabit}
 	if o.Cores > 0 {
@@ -98,9 +100,10 @@
 	return s
 }
 
-// bytesOfMegabit is how many bytes a megabit has.
+// bytesPerMegabit converts Mbit/s to bytes per second.
 const bytesOfMegabit = 1e6 / 8
 
+// callerCount returns the number of callers, with the default applied.
 func (o *Options) callers() int {
 	if o.Callers == 0 {
 		return o.Agents * callersEach
--- a/experiment/plot.go
+++ b/experiment/plot.go
@@ -14,11 +14,12 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// plot draws the share in aim of each second, a line for each policy, over all its days.
+// writePlot plots the share of requests answered within the target latency in each second.
+// Each policy has one line, over all its days.
 func (r *Report) plot(file string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d balancers, %d upstreams, %d callers", r.Balancers, r.Agents, r.Callers)
-	p.X.Label.Text, p.Y.Label.Text = "second", "answered within the aim"
+	p.X.Label.Text, p.Y.Label.Text = "second", "answered within the target latency"
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Add(plotter.NewGrid())
 	var lines []any
@@ -31,7 +32,7 @@
 	return p.Save(plotWidth, plotHeight, file)
 }
 
-// policies returns those that days were played for, in that order.
+// policies returns the policies of the days, in the order of the days.
 func (r *Report) policies() []Policy {
 	var ps []Policy
 	for _, d := range r.Days {
@@ -42,6 +43,7 @@
 	return ps
 }
 
+// shares returns the points of one policy's line.
 func (r *Report) shares(p Policy) plotter.XYs {
 	var sums []Second
 	for _, d := range r.Days {
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -16,19 +16,22 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// ErrBroken says that a promise to callers was broken on some day.
+// ErrBroken reports that a day has breaches: a guarantee to callers was violated.
 var ErrBroken = errors.New("a promise was broken; see breaches in the report")
 
-// Second is what became of the requests that began in one second of a day.
+// Second counts the requests that started in one second of a day, by their outcome.
 type Second struct {
-	Begun  int `json:"begun"`
-	InAim  int `json:"inAim"`
-	Late   int `json:"late"`
+	Begun int `json:"begun"`
+	// InAim counts requests answered within their aim, the target latency of the route.
+	InAim int `json:"inAim"`
+	// Late counts requests answered after the target latency.
+	Late int `json:"late"`
+	// Failed counts requests without an answer before their deadline.
 	Failed int `json:"failed"`
 }
 
-// Share returns the requests that were answered within their aim, as a share of those
-// that began; 1 if none did.
+// Share returns the share of requests that were answered within the target latency; 1 if
+// no request started.
 func (s Second) Share() float64 {
 	if s.Begun == 0 {
 		return 1
@@ -36,29 +39,32 @@
 	return float64(s.InAim) / float64(s.Begun)
 }
 
-// Day is what one day came to.
+// Day is the result of one simulated day.
 type Day struct {
 	Policy  Policy   `json:"policy"`
 	Seed    uint64   `json:"seed"`
 	Seconds []Second `json:"seconds"`
 	Total   Second   `json:"total"`
-	// Worst is the second with the least share, WorstAt which one that is.
+	// Worst is the second with the lowest share, and WorstAt is its index.
 	Worst   Second `json:"worst"`
 	WorstAt int    `json:"worstAt"`
-	// Shed are tries that upstreams refused, Resets flows and openings that were reset.
+	// Shed counts the attempts that upstreams refused because their queues were full.
+	// Resets counts flows and openings that were reset.
 	Shed   int `json:"shed"`
 	Resets int `json:"resets"`
-	// ControlMost and ControlMean are bytes of control messages that a VM heard in a
-	// second, the most and on average, with their IP and UDP headers.
+	// ControlMost and ControlMean are the bytes of control messages that were sent to a
+	// VM per second, with their IP and UDP headers: the maximum and the mean over the VMs.
 	ControlMost int `json:"controlMost"`
 	ControlMean int `json:"controlMean"`
-	// Script is the faults that were drawn; of a day with breaches those that are needed.
+	// Script holds the faults that were drawn. On a day with breaches, it is reduced to
+	// those that are needed to cause one.
 	Script []string `json:"script,omitempty"`
-	// Breaches are promises that were broken, with the time since the site's start.
+	// Breaches are the violations of guarantees to callers, each with the time since the
+	// start of the simulation.
 	Breaches []string `json:"breaches,omitempty"`
 }
 
-// Report is what an experiment came to.
+// Report is the result of an experiment.
 type Report struct {
 	Balancers int   `json:"balancers"`
 	Agents    int   `json:"agents"`
@@ -66,8 +72,8 @@
 	Days      []Day `json:"days"`
 }
 
-// Run plays the days and writes a table to out and the files that the options name. It
-// returns ErrBroken if a promise was broken.
+// Run simulates the days, writes a table to out and writes the files that the options
+// name. It returns ErrBroken if a day has breaches.
 func Run(ctx context.Context, o Options, out io.Writer) error {
 	fs, err := o.script()
 	if err != nil {
@@ -98,7 +104,7 @@
 	return r.broken()
 }
 
-// day plays a day of the script, or of drawn faults.
+// simulateDay simulates a day with the faults of the script, or with drawn faults.
 func (o *Options) day(p Policy, seed uint64, fs []fault) (Day, error) {
 	if o.Draw > 0 {
 		return o.playDrawn(p, seed)
@@ -106,6 +112,7 @@
 	return o.play(p, seed, fs)
 }
 
+// loadScript reads the script file, if there is one.
 func (o *Options) script() ([]fault, error) {
 	if o.Script == "" {
 		return nil, nil
@@ -119,18 +126,19 @@
 }
 
 const (
-	// settle is how long a site runs before its callers come, and with them before the
-	// day begins, so that all have heard of each other and flows are open.
+	// settleTime is how long a site runs before its callers start, and then again before
+	// the day starts. In that time, processes discover each other and callers open flows.
 	settle = 3 * time.Second
-	// after is how long a day is played on, so that its last requests end.
+	// completionTime is how long the simulation runs after the end of the day, so that
+	// the last requests are answered or fail.
 	after = 2 * time.Second
 	// callerPause is the mean pause between a caller's requests.
 	callerPause = time.Second
-	// freshEach is how many callers have one who opens a flow for each request.
+	// flowPerRequestInterval: one in so many callers opens a new flow for each request.
 	freshEach = 4
 )
 
-// play plays one day.
+// simulate simulates one day with the given faults.
 func (o *Options) play(p Policy, seed uint64, fs []fault) (Day, error) {
 	w, err := newWorld(seed)
 	if err != nil {
@@ -164,7 +172,8 @@
 	return d, nil
 }
 
-// count takes in the seconds of the day itself.
+// countSeconds stores the seconds of the day, without the time after its end, and
+// computes the total and the worst second.
 func (d *Day) count(ss []Second, length int) {
 	d.Seconds = ss[:min(len(ss), length)]
 	for i, s := range d.Seconds {
@@ -178,6 +187,7 @@
 	}
 }
 
+// countControl computes the control traffic per VM and second.
 func (d *Day) control(w *world, length time.Duration) {
 	sum := 0
 	for _, n := range w.heard {
@@ -189,6 +199,7 @@
 	d.ControlMean = sum / s / max(1, len(w.heard))
 }
 
+// writeTable writes one row for each day.
 func (r *Report) table(out io.Writer) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "policy\tseed\trequests\tin aim\tlate\tfailed\tworst second\tat\tshed\tresets\tcontrol B/s, most\tbreaches\t")
@@ -200,7 +211,8 @@
 	t.Flush()
 }
 
-// write writes the report as JSON to the file, or to out for "-".
+// writeJSON writes the report as JSON to the file, or to out for "-". It does nothing if
+// no file is given.
 func (r *Report) write(file string, out io.Writer) error {
 	if file == "" {
 		return nil
@@ -217,7 +229,7 @@
 	return os.WriteFile(file, b, 0o644)
 }
 
-// faults returns the drawn faults as the end of a message.
+// faultsSuffix returns the drawn faults as the end of an error message.
 func (d *Day) faults() string {
 	if len(d.Script) == 0 {
 		return ""
@@ -225,6 +237,7 @@
 	return "; faults: " + strings.Join(d.Script, "; ")
 }
 
+// firstBreach returns an error with the first breach, or nil if no day has one.
 func (r *Report) broken() error {
 	for _, d := range r.Days {
 		if len(d.Breaches) > 0 {
--- a/experiment/script.go
+++ b/experiment/script.go
@@ -13,29 +13,31 @@
 	"pomeloway.example/pomeloway/settings"
 )
 
-// fault is one line of a script: what happens to a site, and when.
+// fault is one line of a script: an event that affects the site, and its time.
 type fault struct {
 	at   time.Duration
 	verb string
 	do   func(*world)
 }
 
-// verbs are what a script may say. Each takes its arguments and returns what is done.
+// verbs are the faults that a script may contain. Each function parses the arguments of
+// its verb and returns the function that applies the fault. AT is the time since the start
+// of the day, FOR the duration of the fault.
 //
-//	AT power FOR        every VM loses power for so long; upstreams hold nothing then
-//	AT kill FOR         every process ends for so long; upstreams live on
-//	AT restart N FOR    N balancers end and are back after so long
-//	AT lose N           N upstreams' VMs are lost for good
-//	AT crash N          N upstreams end, their agents live
-//	AT drain N          N upstreams begin to leave
-//	AT cut N FOR        N balancers reach callers and each other only, for so long
-//	AT out ZONE         an availability zone is taken out
-//	AT in ZONE          it is taken back
-//	AT burst N FOR      N more callers, for so long
-//	AT loss SHARE FOR   so many datagrams between VMs are lost, for so long
-//	AT reroute          routers send nearly all flows through other balancers
-//	AT freeze N FOR     N balancers stand still for so long
-//	AT store WAIT FOR   the store takes so long to answer balancers that start, for so long
+//	AT power FOR        all VMs lose power; upstreams lose their flows
+//	AT kill FOR         all balancer and agent processes are down; upstreams keep running
+//	AT restart N FOR    N balancers are down
+//	AT lose N           N upstream VMs are lost permanently
+//	AT crash N          N upstreams crash; their agents keep running
+//	AT drain N          N upstreams start to drain
+//	AT cut N FOR        N balancers can reach only callers and each other
+//	AT out ZONE         an availability zone is taken out of service
+//	AT in ZONE          an availability zone is put back into service
+//	AT burst N FOR      N additional callers send requests
+//	AT loss SHARE FOR   this share (0 to 1) of the datagrams between VMs is lost
+//	AT reroute          the router sends nearly all flows through other balancers
+//	AT freeze N FOR     N balancers are paused
+//	AT store WAIT FOR   the store answers processes that start only after WAIT
 var verbs = map[string]func(*args) func(*world){
 	"power": func(a *args) func(*world) { d := a.duration(); return func(w *world) { w.powerLoss(d) } },
 	"kill":  func(a *args) func(*world) { d := a.duration(); return func(w *world) { w.killAll(d) } },
@@ -71,7 +73,7 @@
 	},
 }
 
-// parseScript reads a script. All findings are reported together, each with its line.
+// parseScript parses a script. It reports all errors together, each with its line number.
 func parseScript(r io.Reader, zones int) ([]fault, error) {
 	var out []fault
 	var found settings.Faults
@@ -87,7 +89,7 @@
 		if make, ok := verbs[f.verb]; ok {
 			f.do = make(a)
 		} else {
-			a.wrong("is no fault", f.verb)
+			a.wrong("is not a known fault", f.verb)
 		}
 		a.end()
 		for _, t := range a.found {
@@ -101,7 +103,7 @@
 	return out, found.All()
 }
 
-// args takes the words of a line one after another and collects findings.
+// args parses the words of a line one after another and collects the errors.
 type args struct {
 	words []string
 	zones int
@@ -112,7 +114,7 @@
 
 func (a *args) next() string {
 	if len(a.words) == 0 {
-		a.found = append(a.found, "something is missing at the end")
+		a.found = append(a.found, "an argument is missing at the end")
 		return ""
 	}
 	w := a.words[0]
@@ -120,9 +122,10 @@
 	return w
 }
 
+// expectEnd reports an error if words are left.
 func (a *args) end() {
 	if len(a.words) > 0 {
-		a.wrong("is too much", a.words[0])
+		a.wrong("is an unexpected argument", a.words[0])
 	}
 }
 
@@ -132,7 +135,7 @@
 	t := a.next()
 	d, err := time.ParseDuration(t)
 	if t != "" && (err != nil || d < 0) {
-		a.wrong("is no duration such as 1.5s", t)
+		a.wrong("is not a duration such as 1.5s", t)
 	}
 	return d
 }
@@ -141,7 +144,7 @@
 	t := a.next()
 	n, err := strconv.Atoi(t)
 	if t != "" && (err != nil || n < 1) {
-		a.wrong("is no number above 0", t)
+		a.wrong("is not a whole number above 0", t)
 	}
 	return n
 }
@@ -150,7 +153,7 @@
 	t := a.next()
 	x, err := strconv.ParseFloat(t, 64)
 	if t != "" && (err != nil || !(x >= 0 && x <= 1)) {
-		a.wrong("is no share of 0 to 1", t)
+		a.wrong("is not a share from 0 to 1", t)
 	}
 	return x
 }
@@ -163,15 +166,16 @@
 		}
 	}
 	if t != "" {
-		a.wrong("is no availability zone of this site", t)
+		a.wrong("is not an availability zone of this site", t)
 	}
 	return t
 }
 
-// zoneName is how the availability zones of a site are called: zone-0 and so on.
+// zoneName returns the name of the n-th availability zone of a site, from zone-0.
 func zoneName(n int) string { return fmt.Sprintf("zone-%d", n) }
 
-// zoneOut takes an availability zone out or back in, which balancers hear at once.
+// setZoneOut takes an availability zone out of service or puts it back. All balancers
+// learn of it at once.
 func (w *world) zoneOut(zone string, out bool) {
 	k := datagram.ZoneKeyOf(zone)
 	w.out = slices.DeleteFunc(slices.Clone(w.out), func(x datagram.ZoneKey) bool { return x == k })
--- a/experiment/silence_test.go
+++ b/experiment/silence_test.go
@@ -13,7 +13,8 @@
 	}
 }
 
-// doubts returns how often a balancer doubts an agent, in looks 50 ms apart.
+// countDoubts samples all balancers every 50 ms for d, and returns the sum of the agents
+// that they doubt.
 func (w *world) doubts(d time.Duration) (n int) {
 	for end := w.now + d; w.now < end; {
 		w.run(w.now + 50*time.Millisecond)
@@ -26,11 +27,11 @@
 	return n
 }
 
-// Guards against agents that live and are held for silent, as they no longer send their
-// status as often as they said they would.
+// Guards against live agents that balancers consider silent. An agent announces its status
+// interval; the failure occurs when a change of the fleet makes it send less often.
 func TestNoAgentThatLivesIsDoubted(t *testing.T) {
 	for name, change := range map[string]func(w *world){
-		"balancers restarted in turn, store slow": func(w *world) {
+		"balancers restarted in turn with a slow store": func(w *world) {
 			w.storeRead = 200 * time.Millisecond
 			w.restartInTurn(w.balancersInOrder()[:8], 700*time.Millisecond)
 		},
@@ -56,15 +57,16 @@
 				w := site(t, seed, 23, 60, 0)
 				change(w)
 				if n := w.doubts(8 * time.Second); n > 0 {
-					t.Errorf("seed %d: agents that live were doubted %d times", seed, n)
+					t.Errorf("seed %d: live agents were doubted %d times", seed, n)
 				}
 			}
 		})
 	}
 }
 
-// Guards against living flows that are reset by balancers that are cut off, by the word of
-// homes that are cut off with them and were not told of the flows.
+// Guards against resets of live flows by balancers that are cut off. Such a balancer asks
+// home balancers that are cut off with it, and these have not received the entries of
+// flows opened since.
 func TestFlowsOpenedDuringACutGoOn(t *testing.T) {
 	for seed := range uint64(6) {
 		w := site(t, seed, 23, 60, 0)
--- a/experiment/slow_test.go
+++ b/experiment/slow_test.go
@@ -8,12 +8,12 @@
 // smallSize is a sixteenth of a core and a link of 10 Mbit/s.
 var smallSize = size{cost: 16 * wholeCost, link: 10 * bytesOfMegabit}
 
-// Guards against small balancers that answer nobody for seconds after a loss of power,
-// as they look for all the flows that were lost.
+// Guards against small balancers that serve no requests for seconds after a power loss,
+// because they look up all the lost flows.
 func TestSmallBalancersServeSoonAfterALossOfPower(t *testing.T) {
 	for name, x := range map[string]struct{ balancers, small, agents, callers int }{
 		"most are small":           {26, 20, 48, 1200},
-		"one of seven":             {7, 1, 20, 300},
+		"one of seven is small":    {7, 1, 20, 300},
 		"all are small, few flows": {7, 7, 20, 300},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -39,18 +39,20 @@
 	}
 }
 
-// mustServeFrom asks for nearly all requests of each second from that one on.
+// checkServedFrom fails the test if less than 95% of the requests of a second, from the
+// given one on, were answered within the target latency.
 func mustServeFrom(t *testing.T, w *world, second int) {
 	t.Helper()
 	for i, s := range w.seconds[:8] {
-		t.Logf("second %d: %.3f in aim", i, s.Share())
+		t.Logf("second %d: %.3f answered within the target latency", i, s.Share())
 		if i >= second && s.Share() < 0.95 {
-			t.Errorf("%.3f in aim in second %d after the loss of power", s.Share(), i)
+			t.Errorf("%.3f answered within the target latency in second %d after the power loss, want 0.95", s.Share(), i)
 		}
 	}
 }
 
-// Guards against a link that lets more through than its rate, or keeps what it drops.
+// Guards against a link that transmits more or less than its rate, or queues datagrams for
+// too long.
 func TestLinkPassesItsRate(t *testing.T) {
 	const rate, bytes = 1e6, 1000
 	var l lane
@@ -59,17 +61,17 @@
 		if wait, ok := l.pass(now, bytes, rate); ok {
 			passed++
 			if wait > queuedMost+time.Millisecond {
-				t.Fatalf("a datagram waited %v", wait)
+				t.Fatalf("a datagram waited %v, which is too long", wait)
 			}
 		}
 	}
 	if most := int(rate/bytes*(1+queuedMost.Seconds())) + 1; passed > most || passed < rate/bytes {
-		t.Errorf("%d datagrams passed, of %d at most", passed, most)
+		t.Errorf("%d datagrams passed, want as many as the rate allows and at most %d", passed, most)
 	}
 }
 
-// Guards against balancers that answer nobody as soon as they get more than they can
-// carry. All seven are small; two thirds of these callers they serve in full.
+// Guards against balancers that serve no requests at all once the load exceeds their
+// capacity. The seven small balancers can serve two thirds of these callers in full.
 func TestOverloadedBalancersServeWhatTheyCan(t *testing.T) {
 	o := Options{Balancers: 7, Small: 7, Cores: 0.0625, Link: 10, Agents: 60, Zones: 3, Callers: 3000, Length: 5 * time.Second}
 	for seed := range uint64(2) {
@@ -77,12 +79,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("seed %d: %.3f in aim, worst second %.3f", seed, d.Total.Share(), d.Worst.Share())
+		t.Logf("seed %d: %.3f answered within the target latency, worst second %.3f", seed, d.Total.Share(), d.Worst.Share())
 		if len(d.Breaches) > 0 {
 			t.Errorf("seed %d: %v", seed, d.Breaches)
 		}
 		if d.Worst.Share() < 0.5 {
-			t.Errorf("seed %d: %.3f in aim in second %d", seed, d.Worst.Share(), d.WorstAt)
+			t.Errorf("seed %d: %.3f answered within the target latency in second %d, want 0.5", seed, d.Worst.Share(), d.WorstAt)
 		}
 	}
 }
--- a/experiment/stranded_test.go
+++ b/experiment/stranded_test.go
@@ -7,7 +7,8 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// Guards against packets that an agent beside no upstream swallows.
+// Guards against lookups that fail because an agent without a running upstream drops their
+// packets without an answer.
 func TestAgentWithoutUpstreamHoldsUpNoLookup(t *testing.T) {
 	for seed := range uint64(10) {
 		w := site(t, seed, 4, 9, 200)
@@ -20,12 +21,12 @@
 		w.run(w.now + 6*time.Second)
 		w.check(t)
 		if w.stranded > 0 {
-			t.Errorf("seed %d: %d requests failed on flows whose upstreams live", seed, w.stranded)
+			t.Errorf("seed %d: %d requests failed on flows whose upstreams run", seed, w.stranded)
 		}
 	}
 }
 
-// Guards against lookups that end at an agent that has just died.
+// Guards against lookups that fail because they wait for an agent that has just died.
 func TestDeadAgentHoldsUpNoLookup(t *testing.T) {
 	for seed := range uint64(10) {
 		w := site(t, seed, 4, 7, 300)
@@ -41,12 +42,13 @@
 		w.run(w.now + 4*time.Second)
 		w.check(t)
 		if w.stranded > 0 {
-			t.Errorf("seed %d: %d requests failed on flows whose upstreams live", seed, w.stranded)
+			t.Errorf("seed %d: %d requests failed on flows whose upstreams run", seed, w.stranded)
 		}
 	}
 }
 
-// Guards against an agent that dies just after its greeting and is held for alive.
+// Guards against an agent that dies just after it has joined the fleet, and that balancers
+// consider alive for too long.
 func TestAgentThatDiesAfterItsGreetingIsDoubted(t *testing.T) {
 	w := site(t, 1, 12, 20, 0)
 	v := w.addAgent(30, "zone-1")
@@ -57,12 +59,13 @@
 	w.run(w.now + 1500*time.Millisecond)
 	for _, b := range w.balancersInOrder() {
 		if s := b.b.Status(w.now - b.since); s.AgentsDoubted != 1 {
-			t.Errorf("balancer %v doubts %d agents", b.ip, s.AgentsDoubted)
+			t.Errorf("balancer %v doubts %d agents, want 1", b.ip, s.AgentsDoubted)
 		}
 	}
 }
 
-// Guards against callers that wait for a VM that died while balancers remember its flows.
+// Guards against requests that time out because balancers keep sending the remembered
+// flows of a dead VM to it.
 func TestRememberedFlowsOfADeadVMEndInTime(t *testing.T) {
 	for seed := range uint64(10) {
 		w := site(t, seed, 4, 7, 200)
@@ -81,7 +84,8 @@
 	}
 }
 
-// Guards against the end of flows whose agent is not heard and serves.
+// Guards against resets of flows whose agent serves them, but whose messages to balancers
+// are lost.
 func TestFlowsOfAnAgentThatIsNotHeardGoOn(t *testing.T) {
 	for seed := range uint64(5) {
 		w := site(t, seed, 4, 7, 150)
--- a/experiment/upstream.go
+++ b/experiment/upstream.go
@@ -8,33 +8,36 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// upstream is a back end: it holds flows, works on requests and bounces what it
-// does not hold.
+// upstream simulates a back end. It holds flows, answers requests, and bounces packets of
+// flows that it does not hold.
 type upstream struct {
 	w        *world
 	vm       *agentVM
 	alive    bool
 	draining bool
-	ackedAt  time.Duration
+	ackedAt  time.Duration // when it first announced to its agent that it drains; 0 if not yet
 
 	startedAt time.Duration
-	late      time.Duration // before its first heartbeat
-	born      int64
-	sequence  int64
-	slots     int
-	work      time.Duration
-	free      []time.Duration // when each slot is free
-	waiting   int
-	seen      map[datagram.Flow]uint32
+	late      time.Duration            // delay between the start and the first heartbeat
+	born      int64                    // start time in ms, which identifies this run
+	sequence  int64                    // number of the latest heartbeat
+	slots     int                      // requests processed at the same time
+	work      time.Duration            // processing time of a request
+	free      []time.Duration          // when each slot is free
+	waiting   int                      // requests in process or queued
+	seen      map[datagram.Flow]uint32 // sequence number of the latest request
 	flows     map[datagram.Flow]*held
 	openings  int
 }
 
+// upstreamFlow is a flow that an upstream has accepted. It is open from the caller's first
+// packet after the opening.
 type held struct {
 	seq  uint32
 	open bool
 }
 
+// start starts the upstream without any flows.
 func (u *upstream) start() {
 	u.alive, u.draining, u.ackedAt, u.sequence, u.free, u.waiting = true, false, 0, 0, nil, 0
 	u.startedAt, u.seen = u.w.now, map[datagram.Flow]uint32{}
@@ -44,6 +47,7 @@
 	u.w.after(u.late, func() { u.beat(born) })
 }
 
+// crash stops the upstream; it loses its flows.
 func (u *upstream) crash() {
 	u.alive = false
 	for f, h := range u.w.holders {
@@ -53,14 +57,15 @@
 	}
 }
 
-// beat sends a heartbeat every 770 ms.
+// sendHeartbeat sends a heartbeat to the agent every 770 ms, or retries after 50 ms while
+// the agent is down.
 func (u *upstream) beat(born int64) {
 	if !u.alive || u.born != born {
 		return
 	}
 	u.sequence++
 	if !u.vm.up {
-		u.w.after(50*time.Millisecond, func() { u.beat(born) }) // its next try
+		u.w.after(50*time.Millisecond, func() { u.beat(born) })
 		return
 	}
 	u.vm.a.Announce(&datagram.Announcement{
@@ -78,12 +83,12 @@
 )
 
 const (
-	// queued is how many requests wait at an upstream before it sheds.
+	// maxQueuedRequests is how many requests an upstream queues before it sheds more.
 	queued     = 20
 	shedAnswer = "503"
 )
 
-// packet makes one as the platform's ends do.
+// encodePacket encodes a packet of the platform's protocol.
 func packet(src, dst datagram.Endpoint, flags byte, seq, ack uint32, data string) []byte {
 	b := make([]byte, testHeader+len(data))
 	binary.BigEndian.PutUint32(b, seq)
@@ -98,7 +103,7 @@
 	return b
 }
 
-// take handles a packet of the upstream's own VM.
+// handlePacket handles a packet that the agent on the same VM passes on.
 func (u *upstream) take(b []byte) {
 	if !u.alive {
 		return
@@ -130,6 +135,8 @@
 	})
 }
 
+// handleOpening accepts a new flow. It records a breach if the upstream has announced
+// that it drains, or if its availability zone is out of service.
 func (u *upstream) opening(p datagram.Packet, b []byte, h *held) {
 	w := u.w
 	if u.draining && u.ackedAt != 0 && w.now-u.ackedAt > 3*time.Second {
@@ -148,6 +155,7 @@
 	u.send(packet(p.Flow.Address, p.Flow.Caller, flagOpen|flagAck, h.seq, p.Seq+1, ""))
 }
 
+// handleRequest answers a request of a flow that it holds, or sheds it if the queue is full.
 func (u *upstream) request(p datagram.Packet, h *held) {
 	w := u.w
 	if !h.open {
@@ -155,7 +163,7 @@
 		w.holders[p.Flow] = u
 	}
 	if p.Length == 0 || u.seen[p.Flow] == p.Seq {
-		return // a retransmission waits for the answer under way
+		return // no data, or a retransmission of a request in process
 	}
 	u.seen[p.Flow] = p.Seq
 	if u.waiting >= u.slots+queued {
@@ -174,7 +182,7 @@
 	}
 	work := u.work
 	if w.now-u.startedAt < 2*time.Second {
-		work = work * 8 / 5 // slow after its start
+		work = work * 8 / 5 // it is slower shortly after its start
 	}
 	u.free[slot] = max(u.free[slot], w.now) + work
 	born := u.born
@@ -186,11 +194,13 @@
 	})
 }
 
+// bounce returns a packet of a flow that the upstream does not hold to the agent.
 func (u *upstream) bounce(b []byte) {
 	b[12] |= flagBounced
 	u.send(b)
 }
 
+// send passes a packet to the agent on the same VM.
 func (u *upstream) send(b []byte) {
 	v := u.vm
 	u.w.after(50*time.Microsecond, func() {
@@ -201,12 +211,16 @@
 	})
 }
 
-// astray follows packets of a flow that reach other upstreams than its own.
+// misroute counts the packets of a flow that reached other upstreams than its owner, since
+// the last packet that reached the owner.
 type astray struct {
 	since time.Duration
 	n     int
 }
 
+// recordMisroute counts a packet that reached another upstream than the owner of its flow.
+// It records a breach if the owner runs and has missed at least three packets over 2 s.
+
 func (w *world) stray(f datagram.Flow, u *upstream) {
 	own := w.holders[f]
 	if own == nil || own == u || !own.alive {
@@ -222,6 +236,8 @@
 	}
 }
 
+// clearMisroute resets the count after a packet that reached the owner of the flow.
 func (w *world) home(f datagram.Flow) { delete(w.astray, f) }
 
+// zonesChangedAt returns when an availability zone was last taken out or put back.
 func (w *world) outAt() time.Duration { return time.Duration(w.revision) }
--- a/experiment/vm.go
+++ b/experiment/vm.go
@@ -8,18 +8,19 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// size is what a VM can do. The zero value is without bounds.
+// size is the processing and network capacity of a VM. The zero value has no limits.
 type size struct {
-	// cost is what a message that is taken or sent costs of the processor.
+	// messageTime is the processor time for receiving or sending a message.
 	cost time.Duration
-	// link is the bytes a second of either direction of the VM's link.
+	// bandwidth is the capacity of the VM's link in bytes per second, in each direction.
 	link float64
 }
 
+// limited reports whether the VM has any limit.
 func (s size) bounded() bool { return s != size{} }
 
-// lookupRate is what the node works out of the same bounds for its balancer; 0 if there
-// are none.
+// lookupRate returns the rate limit for lookups that a real node derives from the same
+// limits for its balancer; 0 if there are none.
 func (s size) lookupRate() float64 {
 	cores := 0.0
 	if s.cost > 0 {
@@ -29,22 +30,25 @@
 }
 
 const (
-	// wholeCost is what a message costs of a whole core.
+	// fullCoreMessageTime is the processor time for a message on a full core.
 	wholeCost = 40 * time.Microsecond
-	// unreadMost are the datagrams that wait for a processor before more are dropped, and
-	// callersPatience is how long those of callers wait.
-	unreadMost      = 500
+	// maxReceiveQueue is the length of each receive queue; further datagrams are dropped.
+	unreadMost = 500
+	// maxCallerWait is how long a caller's datagram may wait for the processor before it
+	// is dropped.
 	callersPatience = 100 * time.Millisecond
-	// linkTurn is how many of the fleet's own messages go before one of a caller.
+	// linkMessagesPerCaller is how many messages of the fleet are processed before one
+	// of a caller.
 	linkTurn = 8
-	// queuedMost is the time that datagrams wait for a link before more are dropped.
+	// maxLinkWait limits the queue of a link: datagrams that would wait longer are dropped.
 	queuedMost = 100 * time.Millisecond
 )
 
-// lane is one direction of a link.
+// linkDirection is one direction of a link, which is busy until freeAt.
 type lane struct{ free time.Duration }
 
-// pass returns how long a datagram waits until it is through, and false if it is dropped.
+// enqueue adds a datagram to the queue of the link. It returns the time until the datagram
+// has been transmitted, or false if it is dropped.
 func (l *lane) pass(now time.Duration, bytes int, rate float64) (time.Duration, bool) {
 	if rate == 0 {
 		return 0, true
@@ -57,52 +61,55 @@
 	return l.free - now, true
 }
 
-// class orders the work of a processor.
+// class is the scheduling class of a job.
 type class uint8
 
 const (
-	// classSend: what was handled is sent before anything else is.
+	// classSend is for sending. It has priority over all other jobs, so that the results
+	// of a job are sent before the next job starts.
 	classSend class = iota
+	// classLink is for messages from the fleet.
 	classLink
+	// classCaller is for datagrams from callers.
 	classCaller
-	classEnd
+	classEnd // number of classes
 )
 
-// job is something for a processor to do.
+// job is a task that waits for the processor.
 type job struct {
 	came time.Duration
 	do   func()
 }
 
-// machine is a VM with a processor and a link.
+// machine simulates the processor and the link of a VM.
 type machine struct {
 	w       *world
 	size    size
-	life    int
+	life    int // increases with each start and stop, so that callbacks of an earlier run are ignored
 	waiting [classEnd][]job
 	working bool
-	turn    int // messages of the fleet since the last of a caller
+	turn    int // messages of the fleet since the last one of a caller
 	in, out lane
-	// outbox is what it sends at this moment, which is sent in an order of its own, as
-	// members are told in that of a map.
+	// outbox holds the datagrams sent at the current time. They are sorted by destination
+	// before they are sent, as the code under test sends in the random order of a map.
 	outbox []sending
 }
 
-// sending is a datagram on its way out.
+// outgoing is a datagram in the outbox.
 type sending struct {
 	to   datagram.IP
 	b    []byte
 	send func([]byte)
 }
 
-// begin starts a life with nothing to do.
+// beginLife resets the machine for a new start, with empty queues.
 func (v *machine) begin() {
 	v.life++
 	v.waiting, v.working, v.turn = [classEnd][]job{}, false, 0
 	v.in, v.out, v.outbox = lane{}, lane{}, nil
 }
 
-// post sends a datagram when processor and link get to it.
+// enqueueSend queues a datagram for the processor and the link, and then sends it.
 func (v *machine) post(to datagram.IP, b []byte, send func([]byte)) {
 	if !v.size.bounded() {
 		send(b)
@@ -114,6 +121,7 @@
 	v.outbox = append(v.outbox, sending{to, append([]byte(nil), b...), send})
 }
 
+// flush queues the datagrams of the outbox for the processor.
 func (v *machine) flush() {
 	out := v.outbox
 	v.outbox = nil
@@ -127,7 +135,8 @@
 	}
 }
 
-// take has the VM handle a datagram that has arrived at its link, unless too many wait.
+// enqueueReceived queues a datagram that arrives at the VM for the link and the processor,
+// which then calls f. The datagram is dropped if either queue is full.
 func (v *machine) take(c class, bytes int, f func()) {
 	wait, ok := v.in.pass(v.w.now, bytes+packetHeaders, v.size.link)
 	if !ok {
@@ -140,7 +149,7 @@
 	})
 }
 
-// work has the processor do something, in its turn.
+// submit queues f for the processor.
 func (v *machine) work(c class, f func()) {
 	if v.size.cost == 0 {
 		f()
@@ -153,7 +162,7 @@
 	}
 }
 
-// next does what is first, and goes on while something waits.
+// runNext runs the next job and schedules another call while jobs wait.
 func (v *machine) next() {
 	if c, ok := v.first(); ok {
 		f := v.waiting[c][0].do
@@ -168,7 +177,7 @@
 	v.later(v.size.cost, v.next)
 }
 
-// dropOld drops callers' datagrams that have waited too long.
+// dropExpired drops datagrams of callers that have waited too long.
 func (v *machine) dropOld() {
 	w := v.waiting[classCaller]
 	for len(w) > 0 && v.w.now-w[0].came >= callersPatience {
@@ -177,7 +186,7 @@
 	v.waiting[classCaller] = w
 }
 
-// first returns the class of what is next; false if nothing waits.
+// nextClass returns the class of the next job, or false if no job waits.
 func (v *machine) first() (class, bool) {
 	switch {
 	case len(v.waiting[classSend]) > 0:
@@ -190,7 +199,7 @@
 	return classCaller, len(v.waiting[classCaller]) > 0
 }
 
-// later does something after a while unless this life has ended.
+// afterInLife calls f after d, unless the process has been stopped by then.
 func (v *machine) later(d time.Duration, f func()) {
 	if d == 0 && !v.size.bounded() {
 		f()
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -15,9 +15,10 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// world is a small site in memory: balancers and agents by their real decisions,
-// a router, upstreams and callers as stand-ins, and a clock that jumps from one
-// event to the next. It notes every breach of what callers were promised.
+// simulation is a discrete-event simulation of a site. Balancers and agents run their
+// production decision logic; the router, upstreams and callers are simulated. The clock
+// advances from one event to the next. Every violated guarantee to callers is recorded as
+// a breach.
 type world struct {
 	seed      uint64
 	rng       *rand.Rand
@@ -26,41 +27,43 @@
 	seq       int
 	keys      link.Keys
 	config    *datagram.Configuration
-	allowed   map[datagram.ServiceKey]bool // services to which the route has ever led
-	out       []datagram.ZoneKey
-	revision  uint64
-	records   []datagram.Member
+	allowed   map[datagram.ServiceKey]bool // services that the route leads to or has led to
+	out       []datagram.ZoneKey           // availability zones out of service
+	revision  uint64                       // revision of zonesOut: the time of the last change
+	records   []datagram.Member            // members in the store
 	balancers map[datagram.IP]*balancerVM
 	agents    map[datagram.IP]*agentVM
 	callers   map[datagram.IP]*caller
-	holders   map[datagram.Flow]*upstream
+	holders   map[datagram.Flow]*upstream // upstream that owns each open flow
 	astray    map[datagram.Flow]*astray
-	loss      float64
-	mute      map[datagram.IP]bool // VMs that no balancer hears
-	cut       map[datagram.IP]bool // VMs that reach callers and each other only
+	loss      float64              // share of datagrams that are lost
+	mute      map[datagram.IP]bool // VMs whose messages to other VMs are dropped
+	cut       map[datagram.IP]bool // VMs that can reach only callers and each other
 	placement datagram.Placement
-	busyAt    float64
-	busy      time.Duration // how long a busy VM may leave a message unread
-	routing   uint64        // what the router adds to its hash; another number moves nearly all flows
-	storeRead time.Duration // how long the store takes to answer a balancer that starts; 0: storeReadUsual
-	lives     uint64
+	busyAt    float64       // see datagram.Agent.BusyAt
+	busy      time.Duration // limit of the random delay of each message, as on busy VMs; 0: no delay
+	routing   uint64        // input to the router's hash; another value moves nearly all flows
+	storeRead time.Duration // latency of the store for processes that start; 0: defaultStoreLatency
+	lives     uint64        // number of the latest datagram.Life
 
 	answered, late, failed, resets int
-	// Requests that began after mark, by what became of them.
+	// measureFrom is the start of a measurement; 0: none. measuredStarted counts the
+	// requests since then, measuredInAim those of its first second that were answered
+	// within the target latency.
 	mark         time.Duration
 	begun, inAim int
-	stranded     int // begun after mark and failed on flows whose upstreams live
+	stranded     int // requests since measureFrom that failed on open flows whose upstreams run
 	shed         int
-	heard        map[datagram.IP]int // bytes of control messages, with their headers
-	lookups      traffic             // messages by which flows are looked for
-	waits        []time.Duration
+	heard        map[datagram.IP]int // bytes of control messages to each VM, with their headers; nil: not counted
+	lookups      traffic             // messages that belong to lookups of flows
+	waits        []time.Duration     // latency of each answer
 	breaches     []string
-	// dayStart is when the day began; what callers get is counted by second from then.
+	// dayStart is when the day starts; outcomes are counted by second from then on.
 	dayStart time.Duration
 	seconds  []Second
 }
 
-// second returns the counts of the second in which a request began.
+// second returns the counts of the second in which a request started.
 func (w *world) second(began time.Duration) *Second {
 	if w.dayStart == 0 || began < w.dayStart {
 		return &Second{}
@@ -72,8 +75,8 @@
 	return &w.seconds[n]
 }
 
-// event is what happens at a time. Of those at the same time the one with the lower key
-// is first, and then the one that was planned first.
+// event is a function call at a given time. Events at the same time run in the order of
+// their keys, and those with the same key in the order in which they were scheduled.
 type event struct {
 	at  time.Duration
 	key uint64
@@ -104,7 +107,7 @@
 	worldService = "letters"
 	worldIdle    = 15 * time.Second
 	worldAim     = 150 * time.Millisecond
-	// storeReadUsual is what a balancer waits for its first reads of the store.
+	// defaultStoreLatency is how long a process waits for its first reads of the store.
 	storeReadUsual = 5 * time.Millisecond
 )
 
@@ -113,7 +116,8 @@
 	worldKey     = datagram.ServiceKeyOf(worldService)
 )
 
-// worldKeyring tags the messages of all processes; nobody else is there to read it.
+// testKeyring authenticates the messages of all processes. It is not secret, as all
+// messages stay within the simulation.
 const worldKeyring = "1:9ow6wBZbFi9UENcfCNG3G_2_cuAmtEZM_WKjhHMBOf0"
 
 func newWorld(seed uint64) (*world, error) {
@@ -131,8 +135,8 @@
 	return w, nil
 }
 
-// configure writes a configuration in which the route leads to the services. Balancers
-// read it within 0.3 s.
+// configure sets a configuration whose route leads to the given services, or that has no
+// route if there are none. Each balancer reads it within 0.3 s.
 func (w *world) configure(v datagram.Version, ss ...datagram.Share) {
 	c := &datagram.Configuration{
 		Version: v, IdleTimeout: worldIdle,
@@ -156,13 +160,17 @@
 	}
 }
 
+// after schedules f to run after d.
 func (w *world) after(d time.Duration, f func()) { w.afterAs(d, 0, f) }
 
+// afterWithKey schedules f to run after d. The key orders it among the events of the same
+// time.
 func (w *world) afterAs(d time.Duration, key uint64, f func()) {
 	w.seq++
 	heap.Push(&w.queue, event{w.now + d, key, w.seq, f})
 }
 
+// runUntil runs all events up to the given time.
 func (w *world) run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
@@ -172,55 +180,62 @@
 	w.now = until
 }
 
-// chance is drawn from what happens and not from a sequence, so that a day is the
-// same however the code under test orders what it sends.
+// datagramHash returns a pseudo-random number for a datagram. It depends on the seed, the
+// time, the ends and the length, and not on a random sequence, so that a day is the same
+// in whatever order the code under test sends.
 func (w *world) chance(from, to datagram.IP, b []byte) uint64 {
 	return fleet.Mix(fleet.Mix(w.seed, uint64(from)<<32|uint64(to)), fleet.Mix(uint64(w.now), uint64(len(b))))
 }
 
-// wayLeast and wayMore bound the way of a datagram between two VMs.
+// A datagram between two VMs takes minNetworkDelay plus a random part of networkJitter.
 const (
 	wayLeast = 200 * time.Microsecond
 	wayMore  = 1400 * time.Microsecond
 )
 
-// deliver hands over a datagram after its way between two VMs.
+// deliver calls f with the datagram after the network delay, unless the datagram is lost.
 func (w *world) deliver(from, to datagram.IP, b []byte, f func([]byte)) {
 	x := w.chance(from, to, b)
 	if float64(x%10_000) < w.loss*10_000 {
 		return
 	}
 	c := append([]byte(nil), b...)
-	// Many datagrams arrive at one microsecond; their order is not that of sending,
-	// which follows maps.
+	// Many datagrams arrive in the same microsecond. The hash is their key, as the order
+	// in which they were sent is that of a map and so not reproducible.
 	w.afterAs(wayLeast+time.Duration(x>>32%uint64(wayMore/time.Microsecond))*time.Microsecond, x, func() { f(c) })
 }
 
+// recordBreach records the violation of a guarantee to callers.
 func (w *world) breach(what string) { w.breaches = append(w.breaches, w.now.String()+": "+what) }
 
-// withRoom returns the datagram with room for a header before it.
+// withHeadroom returns a copy of the datagram with space for a header before it.
 func withRoom(p []byte) []byte { return append(make([]byte, datagram.HeaderLen, 1600), p...) }
 
+// balancerVM is a VM with a balancer. It implements datagram.BalancerOutput.
 type balancerVM struct {
 	machine
 	ip    datagram.IP
 	b     *datagram.Balancer
 	up    bool
-	since time.Duration
-	due   time.Duration // when it is called next
-	// frozen: it stands still; held is what waits for it.
+	since time.Duration // when the balancer started
+	due   time.Duration // when the next tick is scheduled
+	// frozen is set while the balancer is paused; pending holds what it receives meanwhile.
 	frozen bool
 	held   []func()
 }
 
+// ToProcess sends a message to another VM of the fleet.
 func (v *balancerVM) ToProcess(ip datagram.IP, m []byte) {
 	v.post(ip, m, func(m []byte) { v.w.toProcess(v.ip, ip, m) })
 }
 
+// ToCaller sends a packet to a caller.
 func (v *balancerVM) ToCaller(ip datagram.IP, p []byte) {
 	v.post(ip, p, func(p []byte) { v.w.toCaller(ip, p, nil) })
 }
 
+// sendToProcess sends a message between two VMs of the fleet, with a random delay if
+// maxMessageDelay is set.
 func (w *world) toProcess(from, to datagram.IP, m []byte) {
 	if w.busy > 0 {
 		m = append([]byte(nil), m...)
@@ -230,6 +245,8 @@
 	w.hand(from, to, m)
 }
 
+// transmit counts a message and delivers it, unless the sender is muted or the VMs can't
+// reach each other.
 func (w *world) hand(from, to datagram.IP, m []byte) {
 	if w.cut[from] != w.cut[to] || w.mute[from] {
 		return
@@ -253,13 +270,13 @@
 	})
 }
 
-// packetHeaders are the bytes of IP and UDP before a message.
+// ipUDPHeaderLen is the length of the IP and UDP headers of a message.
 const packetHeaders = 28
 
 // traffic counts messages.
 type traffic struct{ messages, bytes int }
 
-// ofLookup reports whether a message is one by which a flow is looked for.
+// isLookup reports whether a message belongs to the lookup of a flow.
 func ofLookup(k datagram.Kind, f datagram.Flags) bool {
 	switch k {
 	case datagram.KindLocate, datagram.KindLocated, datagram.KindDenied, datagram.KindMine, datagram.KindNotMine:
@@ -270,26 +287,27 @@
 	return false
 }
 
-// balancersInOrder returns the balancers by address.
+// balancersByAddress returns the balancers, sorted by address.
 func (w *world) balancersInOrder() []*balancerVM {
 	vs := slices.Collect(maps.Values(w.balancers))
 	slices.SortFunc(vs, func(a, b *balancerVM) int { return cmp.Compare(a.ip, b.ip) })
 	return vs
 }
 
-// agentsInOrder returns the agents by address.
+// agentsByAddress returns the agent VMs, sorted by address.
 func (w *world) agentsInOrder() []*agentVM {
 	vs := slices.Collect(maps.Values(w.agents))
 	slices.SortFunc(vs, func(a, b *agentVM) int { return cmp.Compare(a.ip, b.ip) })
 	return vs
 }
 
+// newLife returns a number that no earlier run of a process had.
 func (w *world) newLife() datagram.Life {
 	w.lives++
 	return datagram.Life(w.lives)
 }
 
-// addBalancer adds an entry VM of the size; it reads the store at its start.
+// addBalancer adds a VM of the given size with a balancer, and starts it.
 func (w *world) addBalancer(n int, s size) *balancerVM {
 	v := &balancerVM{machine: machine{w: w, size: s}, ip: datagram.IP(0x0a000100 + n)}
 	w.balancers[v.ip] = v
@@ -298,9 +316,10 @@
 	return v
 }
 
+// start starts the balancer, which reads the store after its latency.
 func (v *balancerVM) start() {
 	if v.up {
-		return // two faults at once end it, and it is back after the first
+		return // two overlapping faults stopped it, and the first to end has started it
 	}
 	w := v.w
 	v.begin()
@@ -321,7 +340,7 @@
 	v.arm()
 }
 
-// receive has the balancer handle a datagram, once it does not stand still.
+// receive passes a datagram to the balancer, or queues it while the balancer is paused.
 func (v *balancerVM) receive(c class, b []byte, handle func()) {
 	if v.frozen {
 		if len(v.held) < unreadMost {
@@ -335,7 +354,7 @@
 	})
 }
 
-// thaw has the balancer go on after it stood still.
+// unfreeze ends the pause of the balancer and handles what it received meanwhile.
 func (v *balancerVM) thaw() {
 	held := v.held
 	v.frozen, v.held = false, nil
@@ -345,10 +364,11 @@
 	v.arm()
 }
 
+// stop stops the balancer.
 func (v *balancerVM) stop() { v.up, v.life = false, v.life+1 }
 
-// arm runs what is due at the balancer, and again when it next wants to be called. One
-// call is planned at a time; one that another came before is void.
+// tick runs what is due at the balancer and schedules the next tick for the time that the
+// balancer asks for. Only the latest scheduled tick is valid; earlier ones are ignored.
 func (v *balancerVM) arm() {
 	if v.frozen {
 		return
@@ -367,6 +387,7 @@
 	})
 }
 
+// agentVM is a VM with an agent and its upstream. It implements datagram.AgentOutput.
 type agentVM struct {
 	w       *world
 	ip      datagram.IP
@@ -374,22 +395,26 @@
 	service datagram.ServiceKey
 	a       *datagram.Agent
 	u       *upstream
-	up      bool
-	lost    bool // the VM is gone for good
-	drained bool // the store has a record that the upstream drains
-	since   time.Duration
-	life    int
+	up      bool          // the agent runs
+	lost    bool          // the VM is lost permanently
+	drained bool          // the store has a record that the upstream drains
+	since   time.Duration // when the agent started
+	life    int           // increases with each start and stop of the agent
 }
 
+// ToProcess sends a message to another VM of the fleet.
 func (v *agentVM) ToProcess(ip datagram.IP, m []byte) { v.w.toProcess(v.ip, ip, m) }
 
+// ToCaller sends a packet of the upstream to a caller.
 func (v *agentVM) ToCaller(ip datagram.IP, p []byte) { v.w.toCaller(ip, p, v.u) }
 
+// ToUpstream passes a packet to the upstream.
 func (v *agentVM) ToUpstream(p []byte) { v.u.take(append([]byte(nil), p...)) }
 
+// addAgent adds a VM with an agent and an upstream of the default service.
 func (w *world) addAgent(n int, zone string) *agentVM { return w.addAgentOf(n, zone, worldKey) }
 
-// addAgentOf adds a VM with an upstream of the service.
+// addServiceAgent adds a VM with an agent and an upstream of the service, and starts them.
 func (w *world) addAgentOf(n int, zone string, service datagram.ServiceKey) *agentVM {
 	v := &agentVM{w: w, ip: datagram.IP(0x0a010000 + n), zone: zone, service: service}
 	w.agents[v.ip] = v
@@ -400,6 +425,7 @@
 	return v
 }
 
+// start starts the agent, which reads the store after its latency.
 func (v *agentVM) start() {
 	if v.up {
 		return
@@ -427,12 +453,14 @@
 		}
 	})
 	if b := w.balancersInOrder(); len(b) > 0 {
-		v.a.Meet(b[0].ip, 0) // one seed is enough
+		v.a.Meet(b[0].ip, 0) // it learns of the other balancers from this one
 	}
 }
 
+// stop stops the agent; its upstream keeps running.
 func (v *agentVM) stop() { v.up, v.life = false, v.life+1 }
 
+// tick runs what is due at the agent and schedules the next tick.
 func (v *agentVM) tick() {
 	d := datagram.StatusEvery
 	if v.up {
@@ -442,7 +470,8 @@
 	v.w.after(d, v.tick)
 }
 
-// route returns the balancer that the router sends the flow to, or nil.
+// balancerFor returns the balancer that the router sends the flow to, by rendezvous
+// hashing over the balancers that are ready; nil if there is none.
 func (w *world) route(f datagram.Flow) *balancerVM {
 	var best *balancerVM
 	var top uint64
@@ -454,6 +483,7 @@
 	return best
 }
 
+// sendToBalancer sends a caller's packet to the balancer that the router chooses.
 func (w *world) toBalancer(p []byte, f datagram.Flow) {
 	v := w.route(f)
 	if v == nil {
@@ -467,6 +497,7 @@
 	})
 }
 
+// sendToCaller sends a packet to a caller. The upstream is nil if a balancer sends it.
 func (w *world) toCaller(ip datagram.IP, p []byte, from *upstream) {
 	w.deliver(0, ip, p, func(c []byte) {
 		if x := w.callers[ip]; x != nil {
