--- a/experiment/absence_test.go
+++ b/experiment/absence_test.go
@@ -9,11 +9,11 @@
 // running and has to reset the flows at once.
 func TestCrashedUpstreamEndsItsFlowsAtOnce(t *testing.T) {
 	for seed := range uint64(10) {
-		w := site(t, seed, 4, 7, 200)
-		v := w.agentsInOrder()[seed%7]
+		w := newSite(t, seed, 4, 7, 200)
+		v := w.agentsByAddress()[seed%7]
 		v.u.crash()
-		w.run(w.now + 5*time.Second)
-		w.check(t)
+		w.runUntil(w.now + 5*time.Second)
+		w.checkBreaches(t)
 		if w.failed > 0 {
 			t.Errorf("seed %d: %d of %d requests failed", seed, w.failed, w.answered+w.failed)
 		}
@@ -24,14 +24,14 @@
 // heartbeat, when its agent doesn't know of the restart yet.
 func TestUpstreamThatStartsAnewKeepsItsNewFlows(t *testing.T) {
 	for seed := range uint64(20) {
-		w := site(t, seed, 4, 7, 200)
-		for _, v := range w.agentsInOrder() {
+		w := newSite(t, seed, 4, 7, 200)
+		for _, v := range w.agentsByAddress() {
 			v.u.crash()
-			w.run(w.now + 10*time.Millisecond)
-			v.u.late = 100 * time.Millisecond
+			w.runUntil(w.now + 10*time.Millisecond)
+			v.u.heartbeatDelay = 100 * time.Millisecond
 			v.u.start()
-			w.run(w.now + 700*time.Millisecond)
+			w.runUntil(w.now + 700*time.Millisecond)
 		}
-		w.check(t)
+		w.checkBreaches(t)
 	}
 }
--- a/experiment/caller.go
+++ b/experiment/caller.go
@@ -10,88 +10,91 @@
 // caller simulates a client of the platform. It sends requests over one open flow and
 // opens a new flow after each failure.
 type caller struct {
-	w        *world
-	at       datagram.Endpoint // source address and port; each flow has another port
-	pause    time.Duration     // mean time between an answer and the next request
-	deadline time.Duration     // time after which a request has failed
-	aim      time.Duration     // answers that take longer count as late
-	fresh    bool              // opens a new flow for each request
-	stopped  bool              // sends no further requests
+	w              *simulation
+	endpoint       datagram.Endpoint // source address and port; each flow has another port
+	pause          time.Duration     // mean time between an answer and the next request
+	timeout        time.Duration     // time after which a request has failed
+	targetLatency  time.Duration     // answers that take longer count as late
+	flowPerRequest bool              // opens a new flow for each request
+	stopped        bool              // sends no further requests
 
-	seq, ack uint32
-	open     bool          // the flow is established
-	request  int           // number of the current request
-	try      int           // number of the current flow
-	began    time.Duration // start of the current request
-	waiting  bool          // the current request has no answer yet
+	seq, ack     uint32
+	open         bool          // the flow is established
+	request      int           // number of the current request
+	attempt      int           // number of the current flow
+	requestStart time.Duration // start of the current request
+	waiting      bool          // the current request has no answer yet
 }
 
-func (w *world) addCaller(n int, pause time.Duration) *caller {
+// addCaller adds the n-th caller. It sends its first request within the given pause.
+func (w *simulation) addCaller(n int, pause time.Duration) *caller {
 	c := &caller{
-		w: w, at: datagram.Endpoint{IP: datagram.IP(0x64400000 + n), Port: 1024}, pause: pause,
-		deadline: time.Second, aim: worldAim,
+		w: w, endpoint: datagram.Endpoint{IP: datagram.IP(0x64400000 + n), Port: 1024}, pause: pause,
+		timeout: time.Second, targetLatency: routeTargetLatency,
 	}
-	w.callers[c.at.IP] = c
-	w.after(time.Duration(w.rng.Int64N(int64(pause))), c.ask)
+	w.callers[c.endpoint.IP] = c
+	w.after(time.Duration(w.rng.Int64N(int64(pause))), c.startRequest)
 	return c
 }
 
-func (c *caller) flow() datagram.Flow { return datagram.Flow{Caller: c.at, Address: worldAddress} }
+func (c *caller) flow() datagram.Flow {
+	return datagram.Flow{Caller: c.endpoint, Address: routeAddress}
+}
 
 // startRequest starts a request and its timeout.
-func (c *caller) ask() {
+func (c *caller) startRequest() {
 	if c.stopped {
 		return
 	}
 	c.request++
-	c.began, c.waiting = c.w.now, true
-	c.w.second(c.began).Begun++
-	if c.w.mark > 0 && c.w.now >= c.w.mark {
-		c.w.begun++
+	c.requestStart, c.waiting = c.w.now, true
+	c.w.second(c.requestStart).Begun++
+	if c.w.measureFrom > 0 && c.w.now >= c.w.measureFrom {
+		c.w.measuredStarted++
 	}
 	n := c.request
-	c.w.after(c.deadline, func() {
+	c.w.after(c.timeout, func() {
 		if c.waiting && c.request == n {
 			c.w.failed++
-			c.w.second(c.began).Failed++
-			if own := c.w.holders[c.flow()]; c.open && own != nil && own.alive && c.w.mark > 0 && c.began >= c.w.mark {
-				c.w.stranded++
+			c.w.second(c.requestStart).Failed++
+			if owner := c.w.owners[c.flow()]; c.open && owner != nil && owner.alive && c.w.measureFrom > 0 && c.requestStart >= c.w.measureFrom {
+				c.w.failedOnLiveFlow++
 			}
-			c.end()
-			c.close()
+			c.endRequest()
+			c.closeFlow()
 		}
 	})
-	if c.open && !c.fresh {
-		c.send(n, c.try, 200*time.Millisecond)
+	if c.open && !c.flowPerRequest {
+		c.sendRequest(n, c.attempt, 200*time.Millisecond)
 		return
 	}
-	c.dial()
+	c.openFlow()
 }
 
 // endRequest ends the current request and schedules the next one.
-func (c *caller) end() {
+func (c *caller) endRequest() {
 	c.waiting = false
-	c.w.after(c.pause/2+time.Duration(c.w.rng.Int64N(int64(c.pause))), c.ask)
+	c.w.after(c.pause/2+time.Duration(c.w.rng.Int64N(int64(c.pause))), c.startRequest)
 }
 
 // closeFlow drops the current flow. The next flow uses another port.
-func (c *caller) close() {
-	delete(c.w.holders, c.flow())
-	delete(c.w.astray, c.flow())
+func (c *caller) closeFlow() {
+	delete(c.w.owners, c.flow())
+	delete(c.w.misroutes, c.flow())
 	c.open = false
-	c.try++
+	c.attempt++
 }
 
 // openFlow opens a new flow. It sends the opening packet up to three times.
-func (c *caller) dial() {
-	c.close()
-	c.at.Port++
+func (c *caller) openFlow() {
+	c.closeFlow()
+	c.endpoint.Port++
 	c.seq = c.w.rng.Uint32()
-	try := c.try
+	attempt := c.attempt
 	for i, d := range []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond} {
 		c.w.after(d, func() {
-			if c.try == try && !c.open && c.waiting {
-				c.w.toBalancer(packet(c.at, worldAddress, flagOpen, c.seq, uint32(i), ""), c.flow())
+			if c.attempt == attempt && !c.open && c.waiting {
+				c.w.sendToBalancer(encodePacket(c.endpoint, routeAddress, flagOpen, c.seq, uint32(i), ""), c.flow())
 			}
 		})
 	}
@@ -99,17 +102,17 @@
 
 // sendRequest sends request n and repeats it, with a growing delay, until it is
 // answered or the flow is closed.
-func (c *caller) send(n, try int, again time.Duration) {
-	if !c.waiting || c.request != n || c.try != try {
+func (c *caller) sendRequest(n, attempt int, retryAfter time.Duration) {
+	if !c.waiting || c.request != n || c.attempt != attempt {
 		return
 	}
-	c.w.toBalancer(packet(c.at, worldAddress, flagAck, c.seq+1, c.ack, "GET / HTTP/1.1\r\nX-Request-Id: r\r\n\r\n"), c.flow())
-	c.w.after(again, func() { c.send(n, try, min(2*again, 1600*time.Millisecond)) })
+	c.w.sendToBalancer(encodePacket(c.endpoint, routeAddress, flagAck, c.seq+1, c.ack, "GET / HTTP/1.1\r\nX-Request-Id: r\r\n\r\n"), c.flow())
+	c.w.after(retryAfter, func() { c.sendRequest(n, attempt, min(2*retryAfter, 1600*time.Millisecond)) })
 }
 
 // handlePacket handles a packet from an upstream, or a reset that the load balancer
 // itself sent.
-func (c *caller) take(b []byte, from *upstream) {
+func (c *caller) handlePacket(b []byte, from *upstream) {
 	p, ok := platform.Packets{}.ParseOutbound(b)
 	if !ok || p.Flow != c.flow() {
 		return
@@ -117,39 +120,39 @@
 	switch {
 	case p.Reset:
 		c.w.resets++
-		if own := c.w.holders[c.flow()]; c.open && own != nil && own.alive {
-			c.w.breach("reset of flow " + c.at.String() + ", which lives")
+		if owner := c.w.owners[c.flow()]; c.open && owner != nil && owner.alive {
+			c.w.recordBreach("reset of flow " + c.endpoint.String() + ", which lives")
 		}
-		c.close()
+		c.closeFlow()
 		if c.waiting {
-			c.dial()
+			c.openFlow()
 		}
 	case p.Open && !c.open && c.waiting:
 		c.open, c.ack = true, p.Seq+1
-		c.send(c.request, c.try, 200*time.Millisecond)
+		c.sendRequest(c.request, c.attempt, 200*time.Millisecond)
 	case p.Length == len(shedAnswer) && c.open && c.waiting:
 		c.w.shed++
-		c.close()
-		c.dial()
+		c.closeFlow()
+		c.openFlow()
 	case p.Length > 0 && c.open && c.waiting:
-		c.answered(c.w.now - c.began)
+		c.recordAnswer(c.w.now - c.requestStart)
 		c.seq += 100
-		c.end()
+		c.endRequest()
 	}
 }
 
 // recordAnswer counts an answer that arrived d after its request started.
-func (c *caller) answered(d time.Duration) {
+func (c *caller) recordAnswer(d time.Duration) {
 	w := c.w
-	w.waits = append(w.waits, d)
+	w.latencies = append(w.latencies, d)
 	w.answered++
-	if d > c.aim {
+	if d > c.targetLatency {
 		w.late++
-		w.second(c.began).Late++
+		w.second(c.requestStart).Late++
 		return
 	}
-	w.second(c.began).InAim++
-	if w.mark > 0 && c.began >= w.mark && c.began < w.mark+time.Second {
-		w.inAim++
+	w.second(c.requestStart).InAim++
+	if w.measureFrom > 0 && c.requestStart >= w.measureFrom && c.requestStart < w.measureFrom+time.Second {
+		w.measuredInAim++
 	}
 }
--- a/experiment/churn_test.go
+++ b/experiment/churn_test.go
@@ -8,16 +8,17 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// newSite creates a site of balancers, agents in three availability zones, and callers,
-// and runs it until it has settled.
-func site(t *testing.T, seed uint64, balancers, agents, callers int) *world {
-	return newSite(t, seed, balancers, agents, callers, datagram.PlaceIdler, 0)
+// newSite creates a site of balancers, agents in three availability zones, and callers.
+// It runs the site until processes know each other and flows are open.
+func newSite(t *testing.T, seed uint64, balancers, agents, callers int) *simulation {
+	return newSiteWithPlacement(t, seed, balancers, agents, callers, datagram.PlaceIdler, 0)
 }
 
-// newSiteWithPlacement is newSite with the given placement and limit for busy agents.
-func newSite(t *testing.T, seed uint64, balancers, agents, callers int, p datagram.Placement, busyAt float64) *world {
+// newSiteWithPlacement is like newSite, with the given placement and the given limit of
+// requests per slot from which agents are busy.
+func newSiteWithPlacement(t *testing.T, seed uint64, balancers, agents, callers int, p datagram.Placement, busyAt float64) *simulation {
 	t.Helper()
-	w, err := newWorld(seed)
+	w, err := newSimulation(seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,16 +30,16 @@
 		v := w.addAgent(i, fmt.Sprintf("zone-%d", i%3))
 		v.tick()
 	}
-	w.run(3 * time.Second)
+	w.runUntil(3 * time.Second)
 	for i := range callers {
-		w.addCaller(i, time.Second).fresh = i%4 == 3
+		w.addCaller(i, time.Second).flowPerRequest = i%4 == 3
 	}
-	w.run(6 * time.Second)
+	w.runUntil(6 * time.Second)
 	return w
 }
 
 // checkBreaches fails the test if a guarantee to callers was violated.
-func (w *world) check(t *testing.T) {
+func (w *simulation) checkBreaches(t *testing.T) {
 	t.Helper()
 	if len(w.breaches) > 0 {
 		t.Errorf("%d breaches, first %s", len(w.breaches), w.breaches[0])
@@ -47,9 +48,9 @@
 
 // Guards against late or failed requests while there are no faults.
 func TestCalmSiteServesEverybody(t *testing.T) {
-	w := site(t, 1, 4, 7, 100)
-	w.run(30 * time.Second)
-	w.check(t)
+	w := newSite(t, 1, 4, 7, 100)
+	w.runUntil(30 * time.Second)
+	w.checkBreaches(t)
 	if w.answered < 2000 || w.failed > 0 || w.late > 0 {
 		t.Errorf("answered %d, late %d, failed %d", w.answered, w.late, w.failed)
 	}
@@ -59,16 +60,16 @@
 // them yet, while messages are delayed.
 func TestBalancerThatJustStartedCutsNoFlow(t *testing.T) {
 	for seed := range uint64(20) {
-		w := site(t, seed, 3, 7, 120)
-		w.busy = 20 * time.Millisecond
+		w := newSite(t, seed, 3, 7, 120)
+		w.maxMessageDelay = 20 * time.Millisecond
 		for range 10 {
-			for _, v := range w.balancersInOrder() {
+			for _, v := range w.balancersByAddress() {
 				v.stop()
 				v.start()
-				w.run(w.now + 300*time.Millisecond)
+				w.runUntil(w.now + 300*time.Millisecond)
 			}
 		}
-		w.check(t)
+		w.checkBreaches(t)
 	}
 }
 
@@ -76,14 +77,14 @@
 // ended are not reset at once.
 func TestPowerLossEndsFlowsAtOnce(t *testing.T) {
 	for seed := range uint64(10) {
-		w := site(t, seed, 4, 7, 200)
+		w := newSite(t, seed, 4, 7, 200)
 		w.powerLoss(time.Second)
 		// Requests that start up to half a second after the return of power may fail.
-		// Their deadlines are a second later.
-		w.run(w.now + 2500*time.Millisecond)
+		// They time out a second later.
+		w.runUntil(w.now + 2500*time.Millisecond)
 		failed := w.failed
-		w.run(w.now + 5*time.Second)
-		w.check(t)
+		w.runUntil(w.now + 5*time.Second)
+		w.checkBreaches(t)
 		if n := w.failed - failed; n > 0 {
 			t.Errorf("seed %d: %d requests that started after the return of power failed", seed, n)
 		}
@@ -93,15 +94,15 @@
 // Guards against open flows that are reset or misrouted when their agents are restarted.
 func TestAgentsRestartUnderOpenFlows(t *testing.T) {
 	for seed := range uint64(10) {
-		w := site(t, seed, 3, 7, 150)
-		for _, v := range w.agentsInOrder() {
+		w := newSite(t, seed, 3, 7, 150)
+		for _, v := range w.agentsByAddress() {
 			v.stop()
-			w.run(w.now + 400*time.Millisecond)
+			w.runUntil(w.now + 400*time.Millisecond)
 			v.start()
-			w.run(w.now + 900*time.Millisecond)
+			w.runUntil(w.now + 900*time.Millisecond)
 		}
-		w.run(w.now + 2*time.Second)
-		w.check(t)
+		w.runUntil(w.now + 2*time.Second)
+		w.checkBreaches(t)
 		if w.failed > w.answered/100 {
 			t.Errorf("seed %d: %d of %d requests failed, want at most 1%%", seed, w.failed, w.answered+w.failed)
 		}
@@ -111,40 +112,40 @@
 // Guards against lookups by new balancers that fail because one agent doesn't answer.
 func TestLookupsPassSilentAgents(t *testing.T) {
 	for seed := range uint64(10) {
-		w := site(t, seed, 4, 7, 150)
+		w := newSite(t, seed, 4, 7, 150)
 		n := 10
-		for _, a := range w.agentsInOrder() {
+		for _, a := range w.agentsByAddress() {
 			a.stop() // its upstream keeps running
 			break
 		}
 		for range 12 {
-			for _, v := range w.balancersInOrder() {
+			for _, v := range w.balancersByAddress() {
 				v.stop()
 				delete(w.balancers, v.ip)
 				break
 			}
 			w.addBalancer(n, size{})
 			n++
-			w.run(w.now + 500*time.Millisecond)
+			w.runUntil(w.now + 500*time.Millisecond)
 		}
-		w.check(t)
+		w.checkBreaches(t)
 	}
 }
 
 // Guards against openings at upstreams that drain while some balancers don't know it yet.
 func TestDrainingUpstreamsGetNoOpenings(t *testing.T) {
 	for seed := range uint64(5) {
-		w := site(t, seed, 3, 7, 150)
+		w := newSite(t, seed, 3, 7, 150)
 		n := 0
-		for _, v := range w.agentsInOrder() {
+		for _, v := range w.agentsByAddress() {
 			if n++; n > 3 {
 				break
 			}
 			v.u.draining = true
-			w.run(w.now + 300*time.Millisecond)
+			w.runUntil(w.now + 300*time.Millisecond)
 		}
-		w.run(w.now + 6*time.Second)
-		w.check(t)
+		w.runUntil(w.now + 6*time.Second)
+		w.checkBreaches(t)
 		if w.failed > 0 {
 			t.Errorf("seed %d: %d requests failed", seed, w.failed)
 		}
@@ -155,20 +156,20 @@
 // requests that fail because of it.
 func TestZoneOutStopsOpenings(t *testing.T) {
 	for seed := range uint64(5) {
-		w := site(t, seed, 3, 9, 150)
-		w.out = []datagram.ZoneKey{datagram.ZoneKeyOf("zone-1")}
-		w.revision = uint64(w.now)
+		w := newSite(t, seed, 3, 9, 150)
+		w.zonesOut = []datagram.ZoneKey{datagram.ZoneKeyOf("zone-1")}
+		w.zonesRevision = uint64(w.now)
 		n := 0
-		for _, v := range w.balancersInOrder() {
+		for _, v := range w.balancersByAddress() {
 			if n++; n == 1 {
 				continue // it learns of the change from the others
 			}
-			w.after(time.Duration(n)*300*time.Millisecond, func() { v.b.SetZonesOut(w.out, w.revision, w.now-v.since) })
+			w.after(time.Duration(n)*300*time.Millisecond, func() { v.b.SetZonesOut(w.zonesOut, w.zonesRevision, w.now-v.startedAt) })
 		}
-		w.run(w.now + 10*time.Second)
-		w.check(t)
+		w.runUntil(w.now + 10*time.Second)
+		w.checkBreaches(t)
 		failed := w.failed
-		w.run(w.now + 5*time.Second)
+		w.runUntil(w.now + 5*time.Second)
 		if w.failed > failed {
 			t.Errorf("seed %d: %d requests failed later than 10 s after the zone was taken out", seed, w.failed-failed)
 		}
@@ -179,34 +180,34 @@
 // balancer is restarted.
 func TestLossAndDeathsBreakNothing(t *testing.T) {
 	for seed := range uint64(10) {
-		w := site(t, seed, 4, 7, 150)
-		w.loss = 0.01
+		w := newSite(t, seed, 4, 7, 150)
+		w.lossRate = 0.01
 		for range 10 {
-			for _, v := range w.balancersInOrder() {
+			for _, v := range w.balancersByAddress() {
 				v.stop()
-				w.run(w.now + 300*time.Millisecond)
+				w.runUntil(w.now + 300*time.Millisecond)
 				v.start()
 				break
 			}
-			w.run(w.now + 700*time.Millisecond)
+			w.runUntil(w.now + 700*time.Millisecond)
 		}
-		w.check(t)
+		w.checkBreaches(t)
 	}
 }
 
 // Guards against openings that are sent to a dead VM until its record is removed from the
 // store.
 func TestDeadAgentCostsOneOpeningEach(t *testing.T) {
-	w := site(t, 3, 4, 7, 200)
-	for _, v := range w.agentsInOrder() {
+	w := newSite(t, 3, 4, 7, 200)
+	for _, v := range w.agentsByAddress() {
 		v.stop()
 		v.u.crash()
 		break
 	}
-	w.run(w.now + 2500*time.Millisecond) // the flows of the dead VM end in this time
+	w.runUntil(w.now + 2500*time.Millisecond) // the flows of the dead VM end in this time
 	late, failed := w.late, w.failed
-	w.run(w.now + 10*time.Second)
-	w.check(t)
+	w.runUntil(w.now + 10*time.Second)
+	w.checkBreaches(t)
 	if w.late > late+w.answered/500 || w.failed > failed {
 		t.Errorf("%d requests late and %d failed after the VM died, of %d answered", w.late-late, w.failed-failed, w.answered)
 	}
--- a/experiment/days_test.go
+++ b/experiment/days_test.go
@@ -32,7 +32,7 @@
 				t.Fatal(err)
 			}
 			for seed := range uint64(3) {
-				d, err := o.play(PolicyIdler, o.Seed+seed, fs)
+				d, err := o.simulate(PolicyIdler, o.Seed+seed, fs)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/experiment/draw_test.go
+++ b/experiment/draw_test.go
@@ -13,8 +13,8 @@
 func TestDrawnFaultsMakeAScript(t *testing.T) {
 	o := testOptions()
 	for seed := range uint64(200) {
-		lines := o.draw(seed, 6)
-		if !reflect.DeepEqual(lines, o.draw(seed, 6)) {
+		lines := o.drawScript(seed, 6)
+		if !reflect.DeepEqual(lines, o.drawScript(seed, 6)) {
 			t.Fatalf("seed %d: two draws differ", seed)
 		}
 		fs, err := parseScript(strings.NewReader(strings.Join(lines, "\n")), o.Zones)
@@ -22,7 +22,7 @@
 			t.Fatalf("seed %d: %v; script %q", seed, err, lines)
 		}
 		for _, f := range fs {
-			if f.verb != "in" && (f.at < lead || f.at > o.Length-tail) {
+			if f.verb != "in" && (f.at < faultFreeStart || f.at > o.Length-faultFreeEnd) {
 				t.Errorf("seed %d: fault %s at %v is in the fault-free part of the day", seed, f.verb, f.at)
 			}
 		}
@@ -31,7 +31,7 @@
 
 // Guards against reports of a breach that include faults that are not needed to cause it.
 func TestFewestFaultsAreLeft(t *testing.T) {
-	got := fewest([]string{"a", "b", "c", "d", "e"}, func(x []string) bool {
+	got := minimize([]string{"a", "b", "c", "d", "e"}, func(x []string) bool {
 		return slices.Contains(x, "b") && slices.Contains(x, "e")
 	})
 	if !slices.Equal(got, []string{"b", "e"}) {
@@ -43,7 +43,7 @@
 func TestDrawnDayIsPlayed(t *testing.T) {
 	o := testOptions()
 	o.Draw, o.Length = 12, 10*time.Second
-	d, err := o.playDrawn(PolicyIdler, 1)
+	d, err := o.simulateDrawn(PolicyIdler, 1)
 	if err != nil || d.Total.Begun == 0 || len(d.Script) == 0 {
 		t.Errorf("error %v, %d requests, faults %q", err, d.Total.Begun, d.Script)
 	}
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -37,7 +37,7 @@
 	}
 	var totals [3]Second
 	for i := range totals {
-		d, err := o.play(PolicyIdler, 1, fs)
+		d, err := o.simulate(PolicyIdler, 1, fs)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,12 +55,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, err := o.play(PolicyIdler, 3, fs)
+	first, err := o.simulate(PolicyIdler, 3, fs)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
-		again, err := o.play(PolicyIdler, 3, fs)
+		again, err := o.simulate(PolicyIdler, 3, fs)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -123,7 +123,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		fs, err := parseScript(strings.NewReader(text), 3)
 		for _, x := range fs {
-			if err == nil && x.do == nil {
+			if err == nil && x.apply == nil {
 				t.Errorf("fault %+v does nothing", x)
 			}
 		}
--- a/experiment/faults.go
+++ b/experiment/faults.go
@@ -8,12 +8,12 @@
 
 // powerLoss stops all balancers, agents and upstreams for d. Each VM then starts within
 // another 0.3 s.
-func (w *world) powerLoss(d time.Duration) {
-	for _, v := range w.balancersInOrder() {
+func (w *simulation) powerLoss(d time.Duration) {
+	for _, v := range w.balancersByAddress() {
 		v.stop()
 		w.after(d+time.Duration(w.rng.Int64N(int64(300*time.Millisecond))), v.start)
 	}
-	for _, v := range w.agentsInOrder() {
+	for _, v := range w.agentsByAddress() {
 		if v.lost {
 			continue
 		}
@@ -30,9 +30,9 @@
 
 // killAll stops every balancer and agent process and starts them again after d. Upstreams
 // keep running.
-func (w *world) killAll(d time.Duration) {
-	w.restart(len(w.balancers), d)
-	for _, v := range w.agentsInOrder() {
+func (w *simulation) killAll(d time.Duration) {
+	w.restartBalancers(len(w.balancers), d)
+	for _, v := range w.agentsByAddress() {
 		if v.lost {
 			continue
 		}
@@ -43,8 +43,8 @@
 
 // restartBalancers stops n balancers, evenly spaced in the order of addresses, and starts
 // them again after d.
-func (w *world) restart(n int, d time.Duration) {
-	for _, v := range spread(w.balancersInOrder(), n) {
+func (w *simulation) restartBalancers(n int, d time.Duration) {
+	for _, v := range evenlySpaced(w.balancersByAddress(), n) {
 		v.stop()
 		w.after(d, v.start)
 	}
@@ -53,21 +53,21 @@
 // forEachLiveAgent calls do for n agent VMs that run and whose upstreams run and do not
 // drain. The VMs are evenly spaced in the order of addresses, so that a fault affects
 // several availability zones.
-func (w *world) each(n int, do func(*agentVM)) {
+func (w *simulation) forEachLiveAgent(n int, do func(*agentVM)) {
 	var live []*agentVM
-	for _, v := range w.agentsInOrder() {
+	for _, v := range w.agentsByAddress() {
 		if v.up && v.u.alive && !v.u.draining {
 			live = append(live, v)
 		}
 	}
-	for _, v := range spread(live, n) {
+	for _, v := range evenlySpaced(live, n) {
 		do(v)
 	}
 }
 
 // evenlySpaced returns n of the VMs, or all if there are fewer, at even distances in
 // their order.
-func spread[V any](vs []V, n int) []V {
+func evenlySpaced[V any](vs []V, n int) []V {
 	n = min(n, len(vs))
 	out := make([]V, 0, n)
 	for i := range n {
@@ -91,18 +91,18 @@
 
 // partition cuts the first n balancers off from all other VMs for d. They can still reach
 // each other and callers.
-func (w *world) cutOff(n int, d time.Duration) {
-	w.cut = map[datagram.IP]bool{}
-	for i, v := range w.balancersInOrder() {
+func (w *simulation) partition(n int, d time.Duration) {
+	w.partitioned = map[datagram.IP]bool{}
+	for i, v := range w.balancersByAddress() {
 		if i < n {
-			w.cut[v.ip] = true
+			w.partitioned[v.ip] = true
 		}
 	}
-	w.after(d, func() { w.cut = nil })
+	w.after(d, func() { w.partitioned = nil })
 }
 
 // burst adds n callers that stop after d.
-func (w *world) burst(n int, d time.Duration) {
+func (w *simulation) burst(n int, d time.Duration) {
 	first := len(w.callers)
 	for i := range n {
 		c := w.addCaller(first+i, callerPause)
@@ -111,25 +111,25 @@
 }
 
 // loseDatagrams drops the given share of the datagrams between VMs for d.
-func (w *world) lossy(share float64, d time.Duration) {
-	w.loss = share
-	w.after(d, func() { w.loss = 0 })
+func (w *simulation) loseDatagrams(share float64, d time.Duration) {
+	w.lossRate = share
+	w.after(d, func() { w.lossRate = 0 })
 }
 
 // freeze pauses n balancers for d. Datagrams that arrive meanwhile are queued.
-func (w *world) freeze(n int, d time.Duration) {
-	for _, v := range spread(w.balancersInOrder(), n) {
+func (w *simulation) freeze(n int, d time.Duration) {
+	for _, v := range evenlySpaced(w.balancersByAddress(), n) {
 		if !v.up || v.frozen {
 			continue
 		}
 		v.frozen = true
-		v.later(d, v.thaw)
+		v.afterInLife(d, v.unfreeze)
 	}
 }
 
 // slowStore sets the latency of the store for balancers and agents that start within the
 // next d.
-func (w *world) slowStore(wait, d time.Duration) {
-	w.storeRead = wait
-	w.after(d, func() { w.storeRead = 0 })
+func (w *simulation) slowStore(wait, d time.Duration) {
+	w.storeLatency = wait
+	w.after(d, func() { w.storeLatency = 0 })
 }
--- a/experiment/load_test.go
+++ b/experiment/load_test.go
@@ -14,32 +14,32 @@
 // of them answered within the target latency, and the attempts that upstreams shed.
 func TestReturnOfAllCallersIsSpread(t *testing.T) {
 	type outcome struct{ begun, inAim, shed int }
-	play := func(p datagram.Placement, busyAt float64) (o outcome) {
+	measure := func(p datagram.Placement, busyAt float64) (o outcome) {
 		for seed := range uint64(10) {
-			w := newSite(t, seed, 8, 7, 600, p, busyAt)
+			w := newSiteWithPlacement(t, seed, 8, 7, 600, p, busyAt)
 			shed := w.shed
 			w.powerLoss(time.Second)
-			w.mark = w.now + 1200*time.Millisecond
-			w.run(w.mark + time.Second)
-			o.begun += w.begun
-			w.run(w.now + 200*time.Millisecond)
-			w.check(t)
-			o.inAim += w.inAim
+			w.measureFrom = w.now + 1200*time.Millisecond
+			w.runUntil(w.measureFrom + time.Second)
+			o.begun += w.measuredStarted
+			w.runUntil(w.now + 200*time.Millisecond)
+			w.checkBreaches(t)
+			o.inAim += w.measuredInAim
 			o.shed += w.shed - shed
 		}
 		return o
 	}
-	hash := play(datagram.PlaceByHash, -1)
-	status := play(datagram.PlaceIdler, -1)
-	gate := play(datagram.PlaceIdler, 0)
-	t.Logf("by hash %+v, by load %+v, by load with agents that decline when busy %+v", hash, status, gate)
-	if gate.shed > 0 {
-		t.Errorf("upstreams shed %d requests, want none", gate.shed)
+	byHash := measure(datagram.PlaceByHash, -1)
+	byLoad := measure(datagram.PlaceIdler, -1)
+	gated := measure(datagram.PlaceIdler, 0)
+	t.Logf("by hash %+v, by load %+v, by load with agents that decline when busy %+v", byHash, byLoad, gated)
+	if gated.shed > 0 {
+		t.Errorf("upstreams shed %d requests, want none", gated.shed)
 	}
-	if hash.shed == 0 {
+	if byHash.shed == 0 {
 		t.Error("the load is too low to test anything: even placement by hash sheds nothing")
 	}
-	if gate.inAim*hash.begun*100 < hash.inAim*gate.begun*98 {
+	if gated.inAim*byHash.begun*100 < byHash.inAim*gated.begun*98 {
 		t.Error("declining when busy costs more than 2% of the answers within the target latency")
 	}
 }
@@ -47,15 +47,15 @@
 // Guards against long-lived flows that concentrate on few upstreams.
 func TestFeedsAreSpread(t *testing.T) {
 	for seed := range uint64(5) {
-		w := site(t, seed, 4, 7, 0)
+		w := newSite(t, seed, 4, 7, 0)
 		for i := range 300 {
 			w.addCaller(i, time.Second)
 		}
-		w.run(w.now + 10*time.Second)
+		w.runUntil(w.now + 10*time.Second)
 		most, sum := 0, 0
-		for _, v := range w.agentsInOrder() {
+		for _, v := range w.agentsByAddress() {
 			n := 0
-			for _, h := range w.holders {
+			for _, h := range w.owners {
 				if h == v.u {
 					n++
 				}
--- a/experiment/moved_test.go
+++ b/experiment/moved_test.go
@@ -10,25 +10,25 @@
 
 // newMovedSite creates a site with upstreams of three services. The returned function
 // moves the route between the first two; the route never leads to the third.
-func movedSite(t *testing.T, seed uint64) (w *world, move func()) {
+func newMovedSite(t *testing.T, seed uint64) (w *simulation, move func()) {
 	t.Helper()
-	w = site(t, seed, 3, 5, 0)
-	former, next := worldKey, datagram.ServiceKeyOf("scans")
+	w = newSite(t, seed, 3, 5, 0)
+	former, next := routedServiceKey, datagram.ServiceKeyOf("scans")
 	for i := range 6 {
 		s := next
 		if i == 5 {
 			s = datagram.ServiceKeyOf("orders")
 		}
-		w.addAgentOf(100+i, zoneName(i%3), s).tick()
+		w.addServiceAgent(100+i, zoneName(i%3), s).tick()
 	}
-	w.run(w.now + time.Second)
+	w.runUntil(w.now + time.Second)
 	for i := range 120 {
-		w.addCaller(i, time.Second).fresh = i%4 == 3
+		w.addCaller(i, time.Second).flowPerRequest = i%4 == 3
 	}
-	w.run(w.now + 4*time.Second)
+	w.runUntil(w.now + 4*time.Second)
 	v := w.config.Version
 	return w, func() {
-		if v++; w.config.Routes[worldAddress].Shares[0].Service == former {
+		if v++; w.config.Routes[routeAddress].Shares[0].Service == former {
 			w.configure(v, datagram.Share{Service: next, Weight: 1})
 			return
 		}
@@ -39,44 +39,44 @@
 // Guards against flows that are reset, or sent to another service, by a balancer that never
 // had the configuration under which the flow was opened.
 func TestFlowsOfAMovedRouteGoOn(t *testing.T) {
-	for name, harm := range map[string]func(w *world){
-		"balancers restarted one after another": func(w *world) {
-			for _, v := range w.balancersInOrder() {
+	for name, injectFault := range map[string]func(w *simulation){
+		"balancers restarted one after another": func(w *simulation) {
+			for _, v := range w.balancersByAddress() {
 				v.stop()
-				w.run(w.now + 100*time.Millisecond)
+				w.runUntil(w.now + 100*time.Millisecond)
 				v.start()
-				w.run(w.now + 400*time.Millisecond)
+				w.runUntil(w.now + 400*time.Millisecond)
 			}
 		},
-		"balancers added and lost": func(w *world) {
-			for i, v := range w.balancersInOrder() {
+		"balancers added and lost": func(w *simulation) {
+			for i, v := range w.balancersByAddress() {
 				w.addBalancer(50+i, size{})
-				w.run(w.now + 200*time.Millisecond)
+				w.runUntil(w.now + 200*time.Millisecond)
 				v.stop()
 				delete(w.balancers, v.ip)
-				w.run(w.now + 600*time.Millisecond)
+				w.runUntil(w.now + 600*time.Millisecond)
 			}
 		},
-		"a balancer cut off, then restarted": func(w *world) {
-			w.cutOff(1, time.Second)
-			w.run(w.now + 300*time.Millisecond)
-			v := w.balancersInOrder()[0]
+		"a balancer cut off, then restarted": func(w *simulation) {
+			w.partition(1, time.Second)
+			w.runUntil(w.now + 300*time.Millisecond)
+			v := w.balancersByAddress()[0]
 			v.stop()
-			w.run(w.now + 100*time.Millisecond)
+			w.runUntil(w.now + 100*time.Millisecond)
 			v.start()
 		},
-		"all processes killed": func(w *world) { w.killAll(500 * time.Millisecond) },
+		"all processes killed": func(w *simulation) { w.killAll(500 * time.Millisecond) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(6) {
-				w, move := movedSite(t, seed)
+				w, move := newMovedSite(t, seed)
 				move()
-				w.run(w.now + time.Second)
-				harm(w)
-				w.run(w.now + 600*time.Millisecond)
+				w.runUntil(w.now + time.Second)
+				injectFault(w)
+				w.runUntil(w.now + 600*time.Millisecond)
 				move()
-				w.run(w.now + 4*time.Second)
-				w.check(t)
+				w.runUntil(w.now + 4*time.Second)
+				w.checkBreaches(t)
 			}
 		})
 	}
@@ -86,23 +86,23 @@
 // again for another service while a balancer is down.
 func TestFlowsOfARouteThatWasAddedAgainGoOn(t *testing.T) {
 	for seed := range uint64(6) {
-		w, _ := movedSite(t, seed)
+		w, _ := newMovedSite(t, seed)
 		w.configure(2)
-		w.run(w.now + 50*time.Millisecond)
-		v := w.balancersInOrder()[seed%3]
+		w.runUntil(w.now + 50*time.Millisecond)
+		v := w.balancersByAddress()[seed%3]
 		v.stop()
-		w.run(w.now + 100*time.Millisecond)
+		w.runUntil(w.now + 100*time.Millisecond)
 		w.configure(3, datagram.Share{Service: datagram.ServiceKeyOf("scans"), Weight: 1})
 		v.start()
-		w.run(w.now + 3*time.Second)
-		w.check(t)
+		w.runUntil(w.now + 3*time.Second)
+		w.checkBreaches(t)
 	}
 }
 
 // lookupCount returns the number of lookups by all balancers.
-func (w *world) lookupsOf() (n uint64) {
-	for _, v := range w.balancersInOrder() {
-		n += v.b.Status(w.now - v.since).Counts.Lookups
+func (w *simulation) lookupCount() (n uint64) {
+	for _, v := range w.balancersByAddress() {
+		n += v.b.Status(w.now - v.startedAt).Counts.Lookups
 	}
 	return n
 }
@@ -116,50 +116,50 @@
 	}
 	for _, agents := range sizes {
 		t.Run(fmt.Sprintf("%d upstreams", agents), func(t *testing.T) {
-			w := site(t, 1, 6, agents, 300)
-			measure := func(what string, most float64, harm func()) {
-				harm()
-				w.lookups = traffic{}
-				before := w.lookupsOf()
-				w.run(w.now + 3*time.Second)
-				n := float64(w.lookupsOf() - before)
-				per := float64(w.lookups.messages) / n
-				t.Logf("%d upstreams, %s flows: %v lookups, %.1f messages and %.0f B each", agents, what, n, per, float64(w.lookups.bytes)/n)
-				if n < 20 || per > most {
-					t.Errorf("%s flows: %.1f messages per lookup in %v lookups, want at most %v messages and at least 20 lookups", what, per, n, most)
+			w := newSite(t, 1, 6, agents, 300)
+			measure := func(what string, maxMessages float64, injectFault func()) {
+				injectFault()
+				w.lookupTraffic = traffic{}
+				before := w.lookupCount()
+				w.runUntil(w.now + 3*time.Second)
+				n := float64(w.lookupCount() - before)
+				per := float64(w.lookupTraffic.messages) / n
+				t.Logf("%d upstreams, %s flows: %v lookups, %.1f messages and %.0f B each", agents, what, n, per, float64(w.lookupTraffic.bytes)/n)
+				if n < 20 || per > maxMessages {
+					t.Errorf("%s flows: %.1f messages per lookup in %v lookups, want at most %v messages and at least 20 lookups", what, per, n, maxMessages)
 				}
 			}
-			measure("live", 2*livingLookup, func() {
-				for _, v := range w.balancersInOrder()[:3] {
+			measure("live", 2*liveLookupMessages, func() {
+				for _, v := range w.balancersByAddress()[:3] {
 					v.stop()
 					v.start()
 				}
-				w.run(w.now + 20*time.Millisecond)
+				w.runUntil(w.now + 20*time.Millisecond)
 			})
-			measure("lost", 4*livingLookup, func() { w.powerLoss(500 * time.Millisecond); w.run(w.now + 500*time.Millisecond) })
-			w.check(t)
+			measure("lost", 4*liveLookupMessages, func() { w.powerLoss(500 * time.Millisecond); w.runUntil(w.now + 500*time.Millisecond) })
+			w.checkBreaches(t)
 		})
 	}
 }
 
 // liveLookupMessages is the number of messages of the simplest lookup: requests to the two
 // home balancers of the flow, their answers, the packet to the agent and its answer.
-const livingLookup = 6
+const liveLookupMessages = 6
 
 // Guards against lost flows that are not reset for some seconds after a balancer has died,
 // because processes then know different sets of balancers. Only flows that had the dead
 // balancer as a home may have to wait.
 func TestDeadBalancerHoldsUpItsOwnFlowsOnly(t *testing.T) {
-	lost, waited := 0, 0
+	lost, timedOut := 0, 0
 	for seed := range uint64(5) {
-		w := site(t, seed, 10, 12, 300)
-		dead := w.balancersInOrder()[3]
+		w := newSite(t, seed, 10, 12, 300)
+		dead := w.balancersByAddress()[3]
 		dead.stop()
 		delete(w.balancers, dead.ip)
 		w.addAgent(50, "zone-1").tick() // it never learns of the dead balancer
-		w.run(w.now + 2*time.Second)
-		v := w.agentsInOrder()[seed%12]
-		for _, h := range w.holders {
+		w.runUntil(w.now + 2*time.Second)
+		v := w.agentsByAddress()[seed%12]
+		for _, h := range w.owners {
 			if h == v.u {
 				lost++
 			}
@@ -167,15 +167,15 @@
 		failed := w.failed
 		v.stop()
 		v.u.crash()
-		w.run(w.now + 100*time.Millisecond)
+		w.runUntil(w.now + 100*time.Millisecond)
 		v.u.start()
 		v.start()
-		w.run(w.now + 2500*time.Millisecond)
-		w.check(t)
-		waited += w.failed - failed
+		w.runUntil(w.now + 2500*time.Millisecond)
+		w.checkBreaches(t)
+		timedOut += w.failed - failed
 	}
-	t.Logf("%d requests failed on %d lost flows", waited, lost)
-	if lost < 50 || waited*3 > lost {
-		t.Errorf("%d requests failed on %d lost flows, want at least 50 flows and at most a third failed (about a fifth is expected)", waited, lost)
+	t.Logf("%d requests failed on %d lost flows", timedOut, lost)
+	if lost < 50 || timedOut*3 > lost {
+		t.Errorf("%d requests failed on %d lost flows, want at least 50 flows and at most a third failed (about a fifth is expected)", timedOut, lost)
 	}
 }
--- a/experiment/options.go
+++ b/experiment/options.go
@@ -46,44 +46,44 @@
 )
 
 // neverBusy is a limit for requests per slot that turns off declining for load.
-const never = -1
+const neverBusy = -1
 
-// placement returns how balancers choose agents, and from how many requests per slot on
-// an agent is busy; 0 selects the production limit.
+// placement returns how balancers choose agents, and the limit of requests per slot from
+// which an agent is busy; 0 selects the production limit.
 func (p Policy) placement() (datagram.Placement, float64) {
 	switch p {
 	case PolicyHash:
-		return datagram.PlaceByHash, never
+		return datagram.PlaceByHash, neverBusy
 	case PolicyUngated:
-		return datagram.PlaceIdler, never
+		return datagram.PlaceIdler, neverBusy
 	}
 	return datagram.PlaceIdler, 0
 }
 
 const (
 	// maxVMs exceeds the largest site planned for.
-	mostVMs = 4000
+	maxVMs = 4000
 	// callersPerUpstream loads an upstream's five slots to some two fifths of their capacity.
-	callersEach = 40
+	callersPerUpstream = 40
 	// maxCallers limits the memory of a day to about 2 GB.
-	mostCallers = 200_000
+	maxCallers = 200_000
 	// maxLength is ten times the longest lifetime of a flow.
-	mostLength = 10 * time.Minute
+	maxLength = 10 * time.Minute
 )
 
 // Validate returns all errors in the settings, each with its flag.
 func (o *Options) Validate() error {
 	var f settings.Faults
-	f.Want(o.Balancers > 0 && o.Balancers <= mostVMs, "--balancers", "must be 1 to 4000")
+	f.Want(o.Balancers > 0 && o.Balancers <= maxVMs, "--balancers", "must be 1 to 4000")
 	f.Want(o.Small >= 0 && o.Small <= o.Balancers, "--small", "must be 0 to the number of balancers")
 	f.Want(o.Cores >= 0, "--cores", "must be 0 or more")
 	f.Want(o.Link >= 0, "--link", "must be 0 or more")
-	f.Want(o.Agents > 0 && o.Agents <= mostVMs, "--agents", "must be 1 to 4000")
+	f.Want(o.Agents > 0 && o.Agents <= maxVMs, "--agents", "must be 1 to 4000")
 	f.Want(o.Zones > 0 && o.Zones <= o.Agents, "--zones", "must be 1 to the number of agents")
-	f.Want(o.Callers >= 0 && o.Callers <= mostCallers, "--callers", "must be 0 to 200000")
+	f.Want(o.Callers >= 0 && o.Callers <= maxCallers, "--callers", "must be 0 to 200000")
 	f.Want(o.Draw >= 0, "--draw", "must be 0 or more")
 	f.Want(o.Draw == 0 || o.Script == "", "--draw", "can't be used together with --script")
-	f.Want(o.Length >= time.Second && o.Length <= mostLength, "--length", "must be 1s to 10m")
+	f.Want(o.Length >= time.Second && o.Length <= maxLength, "--length", "must be 1s to 10m")
 	f.Want(o.Days > 0, "--days", "must be 1 or more")
 	for _, p := range o.Policy {
 		f.Want(p == PolicyIdler || p == PolicyHash || p == PolicyUngated, "--policy", "must be idler, hash or ungated, not "+string(p))
@@ -92,21 +92,21 @@
 }
 
 // smallVMSize returns the size of a small VM.
-func (o *Options) small() size {
-	s := size{link: o.Link * bytesOfMegabit}
+func (o *Options) smallVMSize() size {
+	s := size{bandwidth: o.Link * bytesPerMegabit}
 	if o.Cores > 0 {
-		s.cost = time.Duration(float64(wholeCost) / o.Cores)
+		s.messageTime = time.Duration(float64(fullCoreMessageTime) / o.Cores)
 	}
 	return s
 }
 
 // bytesPerMegabit converts Mbit/s to bytes per second.
-const bytesOfMegabit = 1e6 / 8
+const bytesPerMegabit = 1e6 / 8
 
 // callerCount returns the number of callers, with the default applied.
-func (o *Options) callers() int {
+func (o *Options) callerCount() int {
 	if o.Callers == 0 {
-		return o.Agents * callersEach
+		return o.Agents * callersPerUpstream
 	}
 	return o.Callers
 }
--- a/experiment/plot.go
+++ b/experiment/plot.go
@@ -16,7 +16,7 @@
 
 // writePlot plots the share of requests answered within the target latency in each second.
 // Each policy has one line, over all its days.
-func (r *Report) plot(file string) error {
+func (r *Report) writePlot(file string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%d balancers, %d upstreams, %d callers", r.Balancers, r.Agents, r.Callers)
 	p.X.Label.Text, p.Y.Label.Text = "second", "answered within the target latency"
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -26,7 +26,7 @@
 	InAim int `json:"inAim"`
 	// Late counts requests answered after the target latency.
 	Late int `json:"late"`
-	// Failed counts requests without an answer before their deadline.
+	// Failed counts requests that timed out.
 	Failed int `json:"failed"`
 }
 
@@ -75,45 +75,45 @@
 // Run simulates the days, writes a table to out and writes the files that the options
 // name. It returns ErrBroken if a day has breaches.
 func Run(ctx context.Context, o Options, out io.Writer) error {
-	fs, err := o.script()
+	fs, err := o.loadScript()
 	if err != nil {
 		return err
 	}
-	r := Report{Balancers: o.Balancers, Agents: o.Agents, Callers: o.callers()}
+	r := Report{Balancers: o.Balancers, Agents: o.Agents, Callers: o.callerCount()}
 	for _, p := range o.Policy {
 		for i := range o.Days {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			d, err := o.day(p, o.Seed+uint64(i), fs)
+			d, err := o.simulateDay(p, o.Seed+uint64(i), fs)
 			if err != nil {
 				return err
 			}
 			r.Days = append(r.Days, d)
 		}
 	}
-	r.table(out)
-	if err := r.write(o.Report, out); err != nil {
+	r.writeTable(out)
+	if err := r.writeJSON(o.Report, out); err != nil {
 		return err
 	}
 	if o.Plot != "" {
-		if err := r.plot(o.Plot); err != nil {
+		if err := r.writePlot(o.Plot); err != nil {
 			return eris.Wrap(err, "plot")
 		}
 	}
-	return r.broken()
+	return r.firstBreach()
 }
 
 // simulateDay simulates a day with the faults of the script, or with drawn faults.
-func (o *Options) day(p Policy, seed uint64, fs []fault) (Day, error) {
+func (o *Options) simulateDay(p Policy, seed uint64, fs []fault) (Day, error) {
 	if o.Draw > 0 {
-		return o.playDrawn(p, seed)
+		return o.simulateDrawn(p, seed)
 	}
-	return o.play(p, seed, fs)
+	return o.simulate(p, seed, fs)
 }
 
-// loadScript reads the script file, if there is one.
-func (o *Options) script() ([]fault, error) {
+// loadScript reads and parses the script file, if there is one.
+func (o *Options) loadScript() ([]fault, error) {
 	if o.Script == "" {
 		return nil, nil
 	}
@@ -128,19 +128,19 @@
 const (
 	// settleTime is how long a site runs before its callers start, and then again before
 	// the day starts. In that time, processes discover each other and callers open flows.
-	settle = 3 * time.Second
+	settleTime = 3 * time.Second
 	// completionTime is how long the simulation runs after the end of the day, so that
 	// the last requests are answered or fail.
-	after = 2 * time.Second
+	completionTime = 2 * time.Second
 	// callerPause is the mean pause between a caller's requests.
 	callerPause = time.Second
 	// flowPerRequestInterval: one in so many callers opens a new flow for each request.
-	freshEach = 4
+	flowPerRequestInterval = 4
 )
 
 // simulate simulates one day with the given faults.
-func (o *Options) play(p Policy, seed uint64, fs []fault) (Day, error) {
-	w, err := newWorld(seed)
+func (o *Options) simulate(p Policy, seed uint64, fs []fault) (Day, error) {
+	w, err := newSimulation(seed)
 	if err != nil {
 		return Day{}, err
 	}
@@ -148,33 +148,33 @@
 	for i := range o.Balancers {
 		var s size
 		if i >= o.Balancers-o.Small {
-			s = o.small()
+			s = o.smallVMSize()
 		}
 		w.addBalancer(i, s)
 	}
 	for i := range o.Agents {
 		w.addAgent(i, zoneName(i%o.Zones)).tick()
 	}
-	w.run(settle)
-	for i := range o.callers() {
-		w.addCaller(i, callerPause).fresh = i%freshEach == freshEach-1
+	w.runUntil(settleTime)
+	for i := range o.callerCount() {
+		w.addCaller(i, callerPause).flowPerRequest = i%flowPerRequestInterval == flowPerRequestInterval-1
 	}
-	w.run(2 * settle)
-	w.dayStart, w.heard = w.now, map[datagram.IP]int{}
+	w.runUntil(2 * settleTime)
+	w.dayStart, w.controlBytes = w.now, map[datagram.IP]int{}
 	for _, f := range fs {
-		w.after(f.at, func() { f.do(w) })
+		w.after(f.at, func() { f.apply(w) })
 	}
 	resets, shed := w.resets, w.shed
-	w.run(w.dayStart + o.Length + after)
+	w.runUntil(w.dayStart + o.Length + completionTime)
 	d := Day{Policy: p, Seed: seed, Shed: w.shed - shed, Resets: w.resets - resets, Breaches: w.breaches}
-	d.count(w.seconds, int(o.Length/time.Second))
-	d.control(w, o.Length+after)
+	d.countSeconds(w.seconds, int(o.Length/time.Second))
+	d.countControl(w, o.Length+completionTime)
 	return d, nil
 }
 
 // countSeconds stores the seconds of the day, without the time after its end, and
 // computes the total and the worst second.
-func (d *Day) count(ss []Second, length int) {
+func (d *Day) countSeconds(ss []Second, length int) {
 	d.Seconds = ss[:min(len(ss), length)]
 	for i, s := range d.Seconds {
 		d.Total.Begun += s.Begun
@@ -188,19 +188,19 @@
 }
 
 // countControl computes the control traffic per VM and second.
-func (d *Day) control(w *world, length time.Duration) {
+func (d *Day) countControl(w *simulation, length time.Duration) {
 	sum := 0
-	for _, n := range w.heard {
+	for _, n := range w.controlBytes {
 		d.ControlMost = max(d.ControlMost, n)
 		sum += n
 	}
 	s := max(1, int(length/time.Second))
 	d.ControlMost /= s
-	d.ControlMean = sum / s / max(1, len(w.heard))
+	d.ControlMean = sum / s / max(1, len(w.controlBytes))
 }
 
 // writeTable writes one row for each day.
-func (r *Report) table(out io.Writer) {
+func (r *Report) writeTable(out io.Writer) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "policy\tseed\trequests\tin aim\tlate\tfailed\tworst second\tat\tshed\tresets\tcontrol B/s, most\tbreaches\t")
 	for _, d := range r.Days {
@@ -213,7 +213,7 @@
 
 // writeJSON writes the report as JSON to the file, or to out for "-". It does nothing if
 // no file is given.
-func (r *Report) write(file string, out io.Writer) error {
+func (r *Report) writeJSON(file string, out io.Writer) error {
 	if file == "" {
 		return nil
 	}
@@ -230,7 +230,7 @@
 }
 
 // faultsSuffix returns the drawn faults as the end of an error message.
-func (d *Day) faults() string {
+func (d *Day) faultsSuffix() string {
 	if len(d.Script) == 0 {
 		return ""
 	}
@@ -238,10 +238,10 @@
 }
 
 // firstBreach returns an error with the first breach, or nil if no day has one.
-func (r *Report) broken() error {
+func (r *Report) firstBreach() error {
 	for _, d := range r.Days {
 		if len(d.Breaches) > 0 {
-			return eris.Wrapf(ErrBroken, "seed %d: %s%s", d.Seed, d.Breaches[0], d.faults())
+			return eris.Wrapf(ErrBroken, "seed %d: %s%s", d.Seed, d.Breaches[0], d.faultsSuffix())
 		}
 	}
 	return nil
--- a/experiment/script.go
+++ b/experiment/script.go
@@ -15,9 +15,9 @@
 
 // fault is one line of a script: an event that affects the site, and its time.
 type fault struct {
-	at   time.Duration
-	verb string
-	do   func(*world)
+	at    time.Duration
+	verb  string
+	apply func(*simulation)
 }
 
 // verbs are the faults that a script may contain. Each function parses the arguments of
@@ -37,46 +37,55 @@
 //	AT loss SHARE FOR   this share (0 to 1) of the datagrams between VMs is lost
 //	AT reroute          the router sends nearly all flows through other balancers
 //	AT freeze N FOR     N balancers are paused
-//	AT store WAIT FOR   the store answers processes that start only after WAIT
-var verbs = map[string]func(*args) func(*world){
-	"power": func(a *args) func(*world) { d := a.duration(); return func(w *world) { w.powerLoss(d) } },
-	"kill":  func(a *args) func(*world) { d := a.duration(); return func(w *world) { w.killAll(d) } },
-	"restart": func(a *args) func(*world) {
+//	AT store WAIT FOR   the store takes WAIT to answer processes that start
+var verbs = map[string]func(*args) func(*simulation){
+	"power": func(a *args) func(*simulation) { d := a.duration(); return func(w *simulation) { w.powerLoss(d) } },
+	"kill":  func(a *args) func(*simulation) { d := a.duration(); return func(w *simulation) { w.killAll(d) } },
+	"restart": func(a *args) func(*simulation) {
 		n, d := a.count(), a.duration()
-		return func(w *world) { w.restart(n, d) }
+		return func(w *simulation) { w.restartBalancers(n, d) }
 	},
-	"lose":  func(a *args) func(*world) { n := a.count(); return func(w *world) { w.each(n, (*agentVM).lose) } },
-	"crash": func(a *args) func(*world) { n := a.count(); return func(w *world) { w.each(n, (*agentVM).crash) } },
-	"drain": func(a *args) func(*world) { n := a.count(); return func(w *world) { w.each(n, (*agentVM).drain) } },
-	"cut": func(a *args) func(*world) {
+	"lose": func(a *args) func(*simulation) {
+		n := a.count()
+		return func(w *simulation) { w.forEachLiveAgent(n, (*agentVM).lose) }
+	},
+	"crash": func(a *args) func(*simulation) {
+		n := a.count()
+		return func(w *simulation) { w.forEachLiveAgent(n, (*agentVM).crash) }
+	},
+	"drain": func(a *args) func(*simulation) {
+		n := a.count()
+		return func(w *simulation) { w.forEachLiveAgent(n, (*agentVM).drain) }
+	},
+	"cut": func(a *args) func(*simulation) {
 		n, d := a.count(), a.duration()
-		return func(w *world) { w.cutOff(n, d) }
+		return func(w *simulation) { w.partition(n, d) }
 	},
-	"out": func(a *args) func(*world) { z := a.zone(); return func(w *world) { w.zoneOut(z, true) } },
-	"in":  func(a *args) func(*world) { z := a.zone(); return func(w *world) { w.zoneOut(z, false) } },
-	"burst": func(a *args) func(*world) {
+	"out": func(a *args) func(*simulation) { z := a.zone(); return func(w *simulation) { w.setZoneOut(z, true) } },
+	"in":  func(a *args) func(*simulation) { z := a.zone(); return func(w *simulation) { w.setZoneOut(z, false) } },
+	"burst": func(a *args) func(*simulation) {
 		n, d := a.count(), a.duration()
-		return func(w *world) { w.burst(n, d) }
+		return func(w *simulation) { w.burst(n, d) }
 	},
-	"loss": func(a *args) func(*world) {
+	"loss": func(a *args) func(*simulation) {
 		x, d := a.share(), a.duration()
-		return func(w *world) { w.lossy(x, d) }
+		return func(w *simulation) { w.loseDatagrams(x, d) }
 	},
-	"reroute": func(*args) func(*world) { return func(w *world) { w.routing++ } },
-	"freeze": func(a *args) func(*world) {
+	"reroute": func(*args) func(*simulation) { return func(w *simulation) { w.routeSalt++ } },
+	"freeze": func(a *args) func(*simulation) {
 		n, d := a.count(), a.duration()
-		return func(w *world) { w.freeze(n, d) }
+		return func(w *simulation) { w.freeze(n, d) }
 	},
-	"store": func(a *args) func(*world) {
+	"store": func(a *args) func(*simulation) {
 		x, d := a.duration(), a.duration()
-		return func(w *world) { w.slowStore(x, d) }
+		return func(w *simulation) { w.slowStore(x, d) }
 	},
 }
 
 // parseScript parses a script. It reports all errors together, each with its line number.
 func parseScript(r io.Reader, zones int) ([]fault, error) {
 	var out []fault
-	var found settings.Faults
+	var problems settings.Faults
 	s := bufio.NewScanner(r)
 	for n := 1; s.Scan(); n++ {
 		text, _, _ := strings.Cut(s.Text(), "#")
@@ -86,35 +95,37 @@
 		}
 		a := &args{words: words, zones: zones}
 		f := fault{at: a.duration(), verb: a.word()}
-		if make, ok := verbs[f.verb]; ok {
-			f.do = make(a)
+		if parse, ok := verbs[f.verb]; ok {
+			f.apply = parse(a)
 		} else {
-			a.wrong("is not a known fault", f.verb)
+			a.reject("is not a known fault", f.verb)
 		}
-		a.end()
-		for _, t := range a.found {
-			found = append(found, fmt.Sprintf("script, line %d: %s", n, t))
+		a.expectEnd()
+		for _, t := range a.problems {
+			problems = append(problems, fmt.Sprintf("script, line %d: %s", n, t))
 		}
 		out = append(out, f)
 	}
 	if err := s.Err(); err != nil {
 		return nil, err
 	}
-	return out, found.All()
+	return out, problems.All()
 }
 
 // args parses the words of a line one after another and collects the errors.
 type args struct {
-	words []string
-	zones int
-	found []string
+	words    []string
+	zones    int
+	problems []string
 }
 
-func (a *args) wrong(what, word string) { a.found = append(a.found, fmt.Sprintf("%q %s", word, what)) }
+func (a *args) reject(what, word string) {
+	a.problems = append(a.problems, fmt.Sprintf("%q %s", word, what))
+}
 
 func (a *args) next() string {
 	if len(a.words) == 0 {
-		a.found = append(a.found, "an argument is missing at the end")
+		a.problems = append(a.problems, "an argument is missing at the end")
 		return ""
 	}
 	w := a.words[0]
@@ -123,9 +134,9 @@
 }
 
 // expectEnd reports an error if words are left.
-func (a *args) end() {
+func (a *args) expectEnd() {
 	if len(a.words) > 0 {
-		a.wrong("is an unexpected argument", a.words[0])
+		a.reject("is an unexpected argument", a.words[0])
 	}
 }
 
@@ -135,7 +146,7 @@
 	t := a.next()
 	d, err := time.ParseDuration(t)
 	if t != "" && (err != nil || d < 0) {
-		a.wrong("is not a duration such as 1.5s", t)
+		a.reject("is not a duration such as 1.5s", t)
 	}
 	return d
 }
@@ -144,7 +155,7 @@
 	t := a.next()
 	n, err := strconv.Atoi(t)
 	if t != "" && (err != nil || n < 1) {
-		a.wrong("is not a whole number above 0", t)
+		a.reject("is not a whole number above 0", t)
 	}
 	return n
 }
@@ -153,7 +164,7 @@
 	t := a.next()
 	x, err := strconv.ParseFloat(t, 64)
 	if t != "" && (err != nil || !(x >= 0 && x <= 1)) {
-		a.wrong("is not a share from 0 to 1", t)
+		a.reject("is not a share from 0 to 1", t)
 	}
 	return x
 }
@@ -166,7 +177,7 @@
 		}
 	}
 	if t != "" {
-		a.wrong("is not an availability zone of this site", t)
+		a.reject("is not an availability zone of this site", t)
 	}
 	return t
 }
@@ -176,14 +187,14 @@
 
 // setZoneOut takes an availability zone out of service or puts it back. All balancers
 // learn of it at once.
-func (w *world) zoneOut(zone string, out bool) {
+func (w *simulation) setZoneOut(zone string, out bool) {
 	k := datagram.ZoneKeyOf(zone)
-	w.out = slices.DeleteFunc(slices.Clone(w.out), func(x datagram.ZoneKey) bool { return x == k })
+	w.zonesOut = slices.DeleteFunc(slices.Clone(w.zonesOut), func(x datagram.ZoneKey) bool { return x == k })
 	if out {
-		w.out = append(w.out, k)
+		w.zonesOut = append(w.zonesOut, k)
 	}
-	w.revision = uint64(w.now)
-	for _, v := range w.balancersInOrder() {
-		v.b.SetZonesOut(w.out, w.revision, w.now-v.since)
+	w.zonesRevision = uint64(w.now)
+	for _, v := range w.balancersByAddress() {
+		v.b.SetZonesOut(w.zonesOut, w.zonesRevision, w.now-v.startedAt)
 	}
 }
--- a/experiment/silence_test.go
+++ b/experiment/silence_test.go
@@ -6,7 +6,7 @@
 )
 
 // restartInTurn restarts the balancers one after another, each down for a second.
-func (w *world) restartInTurn(vs []*balancerVM, gap time.Duration) {
+func (w *simulation) restartInTurn(vs []*balancerVM, gap time.Duration) {
 	for i, v := range vs {
 		w.after(time.Duration(i)*gap, v.stop)
 		w.after(time.Duration(i)*gap+time.Second, v.start)
@@ -15,12 +15,12 @@
 
 // countDoubts samples all balancers every 50 ms for d, and returns the sum of the agents
 // that they doubt.
-func (w *world) doubts(d time.Duration) (n int) {
+func (w *simulation) countDoubts(d time.Duration) (n int) {
 	for end := w.now + d; w.now < end; {
-		w.run(w.now + 50*time.Millisecond)
-		for _, v := range w.balancersInOrder() {
+		w.runUntil(w.now + 50*time.Millisecond)
+		for _, v := range w.balancersByAddress() {
 			if v.up {
-				n += v.b.Status(w.now - v.since).AgentsDoubted
+				n += v.b.Status(w.now - v.startedAt).AgentsDoubted
 			}
 		}
 	}
@@ -30,23 +30,23 @@
 // Guards against live agents that balancers consider silent. An agent announces its status
 // interval; the failure occurs when a change of the fleet makes it send less often.
 func TestNoAgentThatLivesIsDoubted(t *testing.T) {
-	for name, change := range map[string]func(w *world){
-		"balancers restarted in turn with a slow store": func(w *world) {
-			w.storeRead = 200 * time.Millisecond
-			w.restartInTurn(w.balancersInOrder()[:8], 700*time.Millisecond)
+	for name, change := range map[string]func(w *simulation){
+		"balancers restarted in turn with a slow store": func(w *simulation) {
+			w.storeLatency = 200 * time.Millisecond
+			w.restartInTurn(w.balancersByAddress()[:8], 700*time.Millisecond)
 		},
-		"balancers added": func(w *world) {
+		"balancers added": func(w *simulation) {
 			for i := range 5 {
 				w.addBalancer(50+i, size{})
 			}
 		},
-		"agents added": func(w *world) {
+		"agents added": func(w *simulation) {
 			for i := range 30 {
 				w.addAgent(100+i, zoneName(i%3)).tick()
 			}
 		},
-		"balancers lost": func(w *world) {
-			for _, v := range w.balancersInOrder()[:5] {
+		"balancers lost": func(w *simulation) {
+			for _, v := range w.balancersByAddress()[:5] {
 				v.stop()
 				delete(w.balancers, v.ip)
 			}
@@ -54,9 +54,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3) {
-				w := site(t, seed, 23, 60, 0)
+				w := newSite(t, seed, 23, 60, 0)
 				change(w)
-				if n := w.doubts(8 * time.Second); n > 0 {
+				if n := w.countDoubts(8 * time.Second); n > 0 {
 					t.Errorf("seed %d: live agents were doubted %d times", seed, n)
 				}
 			}
@@ -69,15 +69,15 @@
 // flows opened since.
 func TestFlowsOpenedDuringACutGoOn(t *testing.T) {
 	for seed := range uint64(6) {
-		w := site(t, seed, 23, 60, 0)
-		w.cutOff(7, 4*time.Second)
+		w := newSite(t, seed, 23, 60, 0)
+		w.partition(7, 4*time.Second)
 		for i := range 1000 {
 			w.addCaller(i, time.Second)
 		}
-		w.restartInTurn(w.balancersInOrder()[7:], 700*time.Millisecond)
+		w.restartInTurn(w.balancersByAddress()[7:], 700*time.Millisecond)
 		for end := w.now + 8*time.Second; w.now < end; {
-			w.run(w.now + 300*time.Millisecond)
-			w.routing++
+			w.runUntil(w.now + 300*time.Millisecond)
+			w.routeSalt++
 		}
 		for _, s := range w.breaches {
 			t.Errorf("seed %d: %s", seed, s)
--- a/experiment/slow_test.go
+++ b/experiment/slow_test.go
@@ -6,7 +6,7 @@
 )
 
 // smallSize is a sixteenth of a core and a link of 10 Mbit/s.
-var smallSize = size{cost: 16 * wholeCost, link: 10 * bytesOfMegabit}
+var smallSize = size{messageTime: 16 * fullCoreMessageTime, bandwidth: 10 * bytesPerMegabit}
 
 // Guards against small balancers that serve no requests for seconds after a power loss,
 // because they look up all the lost flows.
@@ -18,22 +18,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(2) {
-				w := site(t, seed, x.balancers-x.small, x.agents, 0)
+				w := newSite(t, seed, x.balancers-x.small, x.agents, 0)
 				for i := range x.small {
 					w.addBalancer(x.balancers-x.small+i, smallSize)
 				}
-				w.run(w.now + 3*time.Second)
+				w.runUntil(w.now + 3*time.Second)
 				for i := range x.callers {
 					c := w.addCaller(i, time.Second)
-					c.fresh = i%10 == 9
-					c.aim, c.deadline = 400*time.Millisecond, 4*time.Second
+					c.flowPerRequest = i%10 == 9
+					c.targetLatency, c.timeout = 400*time.Millisecond, 4*time.Second
 				}
-				w.run(w.now + 3*time.Second)
+				w.runUntil(w.now + 3*time.Second)
 				w.dayStart = w.now
 				w.powerLoss(time.Second)
-				w.run(w.now + 12*time.Second)
-				w.check(t)
-				mustServeFrom(t, w, 4)
+				w.runUntil(w.now + 12*time.Second)
+				w.checkBreaches(t)
+				checkServedFrom(t, w, 4)
 			}
 		})
 	}
@@ -41,7 +41,7 @@
 
 // checkServedFrom fails the test if less than 95% of the requests of a second, from the
 // given one on, were answered within the target latency.
-func mustServeFrom(t *testing.T, w *world, second int) {
+func checkServedFrom(t *testing.T, w *simulation, second int) {
 	t.Helper()
 	for i, s := range w.seconds[:8] {
 		t.Logf("second %d: %.3f answered within the target latency", i, s.Share())
@@ -55,17 +55,17 @@
 // too long.
 func TestLinkPassesItsRate(t *testing.T) {
 	const rate, bytes = 1e6, 1000
-	var l lane
+	var l linkDirection
 	passed := 0
 	for now := time.Duration(0); now < time.Second; now += 100 * time.Microsecond {
-		if wait, ok := l.pass(now, bytes, rate); ok {
+		if wait, ok := l.enqueue(now, bytes, rate); ok {
 			passed++
-			if wait > queuedMost+time.Millisecond {
+			if wait > maxLinkWait+time.Millisecond {
 				t.Fatalf("a datagram waited %v, which is too long", wait)
 			}
 		}
 	}
-	if most := int(rate/bytes*(1+queuedMost.Seconds())) + 1; passed > most || passed < rate/bytes {
+	if most := int(rate/bytes*(1+maxLinkWait.Seconds())) + 1; passed > most || passed < rate/bytes {
 		t.Errorf("%d datagrams passed, want as many as the rate allows and at most %d", passed, most)
 	}
 }
@@ -75,7 +75,7 @@
 func TestOverloadedBalancersServeWhatTheyCan(t *testing.T) {
 	o := Options{Balancers: 7, Small: 7, Cores: 0.0625, Link: 10, Agents: 60, Zones: 3, Callers: 3000, Length: 5 * time.Second}
 	for seed := range uint64(2) {
-		d, err := o.play(PolicyIdler, seed, nil)
+		d, err := o.simulate(PolicyIdler, seed, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/experiment/stranded_test.go
+++ b/experiment/stranded_test.go
@@ -11,17 +11,17 @@
 // packets without an answer.
 func TestAgentWithoutUpstreamHoldsUpNoLookup(t *testing.T) {
 	for seed := range uint64(10) {
-		w := site(t, seed, 4, 9, 200)
-		for _, v := range w.agentsInOrder()[:2] {
+		w := newSite(t, seed, 4, 9, 200)
+		for _, v := range w.agentsByAddress()[:2] {
 			v.u.crash()
 		}
-		w.run(w.now + 3*time.Second)
-		w.mark = w.now + 600*time.Millisecond
+		w.runUntil(w.now + 3*time.Second)
+		w.measureFrom = w.now + 600*time.Millisecond
 		w.killAll(500 * time.Millisecond)
-		w.run(w.now + 6*time.Second)
-		w.check(t)
-		if w.stranded > 0 {
-			t.Errorf("seed %d: %d requests failed on flows whose upstreams run", seed, w.stranded)
+		w.runUntil(w.now + 6*time.Second)
+		w.checkBreaches(t)
+		if w.failedOnLiveFlow > 0 {
+			t.Errorf("seed %d: %d requests failed on flows whose upstreams run", seed, w.failedOnLiveFlow)
 		}
 	}
 }
@@ -29,20 +29,20 @@
 // Guards against lookups that fail because they wait for an agent that has just died.
 func TestDeadAgentHoldsUpNoLookup(t *testing.T) {
 	for seed := range uint64(10) {
-		w := site(t, seed, 4, 7, 300)
-		for _, v := range w.balancersInOrder() {
+		w := newSite(t, seed, 4, 7, 300)
+		for _, v := range w.balancersByAddress() {
 			v.stop()
 			v.start()
 		}
-		w.run(w.now + 100*time.Millisecond)
-		w.mark = w.now
-		v := w.agentsInOrder()[seed%7]
+		w.runUntil(w.now + 100*time.Millisecond)
+		w.measureFrom = w.now
+		v := w.agentsByAddress()[seed%7]
 		v.stop()
 		v.u.crash()
-		w.run(w.now + 4*time.Second)
-		w.check(t)
-		if w.stranded > 0 {
-			t.Errorf("seed %d: %d requests failed on flows whose upstreams run", seed, w.stranded)
+		w.runUntil(w.now + 4*time.Second)
+		w.checkBreaches(t)
+		if w.failedOnLiveFlow > 0 {
+			t.Errorf("seed %d: %d requests failed on flows whose upstreams run", seed, w.failedOnLiveFlow)
 		}
 	}
 }
@@ -50,15 +50,15 @@
 // Guards against an agent that dies just after it has joined the fleet, and that balancers
 // consider alive for too long.
 func TestAgentThatDiesAfterItsGreetingIsDoubted(t *testing.T) {
-	w := site(t, 1, 12, 20, 0)
+	w := newSite(t, 1, 12, 20, 0)
 	v := w.addAgent(30, "zone-1")
 	v.tick()
-	w.run(w.now + 300*time.Millisecond)
+	w.runUntil(w.now + 300*time.Millisecond)
 	v.stop()
 	v.u.crash()
-	w.run(w.now + 1500*time.Millisecond)
-	for _, b := range w.balancersInOrder() {
-		if s := b.b.Status(w.now - b.since); s.AgentsDoubted != 1 {
+	w.runUntil(w.now + 1500*time.Millisecond)
+	for _, b := range w.balancersByAddress() {
+		if s := b.b.Status(w.now - b.startedAt); s.AgentsDoubted != 1 {
 			t.Errorf("balancer %v doubts %d agents, want 1", b.ip, s.AgentsDoubted)
 		}
 	}
@@ -68,16 +68,16 @@
 // flows of a dead VM to it.
 func TestRememberedFlowsOfADeadVMEndInTime(t *testing.T) {
 	for seed := range uint64(10) {
-		w := site(t, seed, 4, 7, 200)
+		w := newSite(t, seed, 4, 7, 200)
 		for _, c := range w.callers {
-			c.deadline = 3 * time.Second
+			c.timeout = 3 * time.Second
 		}
-		w.run(w.now + 3*time.Second)
-		v := w.agentsInOrder()[seed%7]
+		w.runUntil(w.now + 3*time.Second)
+		v := w.agentsByAddress()[seed%7]
 		v.stop()
 		v.u.crash()
-		w.run(w.now + 8*time.Second)
-		w.check(t)
+		w.runUntil(w.now + 8*time.Second)
+		w.checkBreaches(t)
 		if w.failed > 0 {
 			t.Errorf("seed %d: %d of %d requests failed", seed, w.failed, w.answered+w.failed)
 		}
@@ -88,11 +88,11 @@
 // are lost.
 func TestFlowsOfAnAgentThatIsNotHeardGoOn(t *testing.T) {
 	for seed := range uint64(5) {
-		w := site(t, seed, 4, 7, 150)
-		v := w.agentsInOrder()[seed%7]
-		w.mute = map[datagram.IP]bool{v.ip: true}
-		w.run(w.now + 8*time.Second)
-		w.check(t)
+		w := newSite(t, seed, 4, 7, 150)
+		v := w.agentsByAddress()[seed%7]
+		w.muted = map[datagram.IP]bool{v.ip: true}
+		w.runUntil(w.now + 8*time.Second)
+		w.checkBreaches(t)
 		if w.failed > 0 {
 			t.Errorf("seed %d: %d of %d requests failed", seed, w.failed, w.answered+w.failed)
 		}
--- a/experiment/vm.go
+++ b/experiment/vm.go
@@ -11,54 +11,54 @@
 // size is the processing and network capacity of a VM. The zero value has no limits.
 type size struct {
 	// messageTime is the processor time for receiving or sending a message.
-	cost time.Duration
-	// bandwidth is the capacity of the VM's link in bytes per second, in each direction.
-	link float64
+	messageTime time.Duration
+	// bandwidth is the capacity of the VM's link in each direction, in bytes per second.
+	bandwidth float64
 }
 
 // limited reports whether the VM has any limit.
-func (s size) bounded() bool { return s != size{} }
+func (s size) limited() bool { return s != size{} }
 
 // lookupRate returns the rate limit for lookups that a real node derives from the same
 // limits for its balancer; 0 if there are none.
 func (s size) lookupRate() float64 {
 	cores := 0.0
-	if s.cost > 0 {
-		cores = float64(wholeCost) / float64(s.cost)
+	if s.messageTime > 0 {
+		cores = float64(fullCoreMessageTime) / float64(s.messageTime)
 	}
-	return datagram.LookupRate(cores, s.link/bytesOfMegabit)
+	return datagram.LookupRate(cores, s.bandwidth/bytesPerMegabit)
 }
 
 const (
 	// fullCoreMessageTime is the processor time for a message on a full core.
-	wholeCost = 40 * time.Microsecond
+	fullCoreMessageTime = 40 * time.Microsecond
 	// maxReceiveQueue is the length of each receive queue; further datagrams are dropped.
-	unreadMost = 500
+	maxReceiveQueue = 500
 	// maxCallerWait is how long a caller's datagram may wait for the processor before it
 	// is dropped.
-	callersPatience = 100 * time.Millisecond
+	maxCallerWait = 100 * time.Millisecond
 	// linkMessagesPerCaller is how many messages of the fleet are processed before one
 	// of a caller.
-	linkTurn = 8
+	linkMessagesPerCaller = 8
 	// maxLinkWait limits the queue of a link: datagrams that would wait longer are dropped.
-	queuedMost = 100 * time.Millisecond
+	maxLinkWait = 100 * time.Millisecond
 )
 
 // linkDirection is one direction of a link, which is busy until freeAt.
-type lane struct{ free time.Duration }
+type linkDirection struct{ freeAt time.Duration }
 
 // enqueue adds a datagram to the queue of the link. It returns the time until the datagram
 // has been transmitted, or false if it is dropped.
-func (l *lane) pass(now time.Duration, bytes int, rate float64) (time.Duration, bool) {
+func (l *linkDirection) enqueue(now time.Duration, bytes int, rate float64) (time.Duration, bool) {
 	if rate == 0 {
 		return 0, true
 	}
-	begin := max(l.free, now)
-	if begin-now > queuedMost {
+	start := max(l.freeAt, now)
+	if start-now > maxLinkWait {
 		return 0, false
 	}
-	l.free = begin + time.Duration(float64(bytes)/rate*float64(time.Second))
-	return l.free - now, true
+	l.freeAt = start + time.Duration(float64(bytes)/rate*float64(time.Second))
+	return l.freeAt - now, true
 }
 
 // class is the scheduling class of a job.
@@ -68,68 +68,68 @@
 	// classSend is for sending. It has priority over all other jobs, so that the results
 	// of a job are sent before the next job starts.
 	classSend class = iota
-	// classLink is for messages from the fleet.
+	// classLink is for messages from other VMs of the fleet.
 	classLink
 	// classCaller is for datagrams from callers.
 	classCaller
-	classEnd // number of classes
+	classCount // number of classes
 )
 
 // job is a task that waits for the processor.
 type job struct {
-	came time.Duration
-	do   func()
+	queuedAt time.Duration
+	do       func()
 }
 
 // machine simulates the processor and the link of a VM.
 type machine struct {
-	w       *world
-	size    size
-	life    int // increases with each start and stop, so that callbacks of an earlier run are ignored
-	waiting [classEnd][]job
-	working bool
-	turn    int // messages of the fleet since the last one of a caller
-	in, out lane
+	w                 *simulation
+	size              size
+	life              int // increases with each start and stop, so that callbacks of an earlier run are ignored
+	queues            [classCount][]job
+	busy              bool
+	linkStreak        int // messages of the fleet since the last one of a caller
+	inbound, outbound linkDirection
 	// outbox holds the datagrams sent at the current time. They are sorted by destination
 	// before they are sent, as the code under test sends in the random order of a map.
-	outbox []sending
+	outbox []outgoing
 }
 
 // outgoing is a datagram in the outbox.
-type sending struct {
+type outgoing struct {
 	to   datagram.IP
 	b    []byte
 	send func([]byte)
 }
 
 // beginLife resets the machine for a new start, with empty queues.
-func (v *machine) begin() {
+func (v *machine) beginLife() {
 	v.life++
-	v.waiting, v.working, v.turn = [classEnd][]job{}, false, 0
-	v.in, v.out, v.outbox = lane{}, lane{}, nil
+	v.queues, v.busy, v.linkStreak = [classCount][]job{}, false, 0
+	v.inbound, v.outbound, v.outbox = linkDirection{}, linkDirection{}, nil
 }
 
 // enqueueSend queues a datagram for the processor and the link, and then sends it.
-func (v *machine) post(to datagram.IP, b []byte, send func([]byte)) {
-	if !v.size.bounded() {
+func (v *machine) enqueueSend(to datagram.IP, b []byte, send func([]byte)) {
+	if !v.size.limited() {
 		send(b)
 		return
 	}
 	if len(v.outbox) == 0 {
-		v.later(0, v.flush)
+		v.afterInLife(0, v.flush)
 	}
-	v.outbox = append(v.outbox, sending{to, append([]byte(nil), b...), send})
+	v.outbox = append(v.outbox, outgoing{to, append([]byte(nil), b...), send})
 }
 
 // flush queues the datagrams of the outbox for the processor.
 func (v *machine) flush() {
 	out := v.outbox
 	v.outbox = nil
-	slices.SortStableFunc(out, func(a, b sending) int { return cmp.Compare(a.to, b.to) })
+	slices.SortStableFunc(out, func(a, b outgoing) int { return cmp.Compare(a.to, b.to) })
 	for _, x := range out {
-		v.work(classSend, func() {
-			if wait, ok := v.out.pass(v.w.now, len(x.b)+packetHeaders, v.size.link); ok {
-				v.later(wait, func() { x.send(x.b) })
+		v.submit(classSend, func() {
+			if wait, ok := v.outbound.enqueue(v.w.now, len(x.b)+ipUDPHeaderLen, v.size.bandwidth); ok {
+				v.afterInLife(wait, func() { x.send(x.b) })
 			}
 		})
 	}
@@ -137,71 +137,71 @@
 
 // enqueueReceived queues a datagram that arrives at the VM for the link and the processor,
 // which then calls f. The datagram is dropped if either queue is full.
-func (v *machine) take(c class, bytes int, f func()) {
-	wait, ok := v.in.pass(v.w.now, bytes+packetHeaders, v.size.link)
+func (v *machine) enqueueReceived(c class, bytes int, f func()) {
+	wait, ok := v.inbound.enqueue(v.w.now, bytes+ipUDPHeaderLen, v.size.bandwidth)
 	if !ok {
 		return
 	}
-	v.later(wait, func() {
-		if len(v.waiting[c]) < unreadMost {
-			v.work(c, f)
+	v.afterInLife(wait, func() {
+		if len(v.queues[c]) < maxReceiveQueue {
+			v.submit(c, f)
 		}
 	})
 }
 
 // submit queues f for the processor.
-func (v *machine) work(c class, f func()) {
-	if v.size.cost == 0 {
+func (v *machine) submit(c class, f func()) {
+	if v.size.messageTime == 0 {
 		f()
 		return
 	}
-	v.waiting[c] = append(v.waiting[c], job{v.w.now, f})
-	if !v.working {
-		v.working = true
-		v.later(v.size.cost, v.next)
+	v.queues[c] = append(v.queues[c], job{v.w.now, f})
+	if !v.busy {
+		v.busy = true
+		v.afterInLife(v.size.messageTime, v.runNext)
 	}
 }
 
-// runNext runs the next job and schedules another call while jobs wait.
-func (v *machine) next() {
-	if c, ok := v.first(); ok {
-		f := v.waiting[c][0].do
-		v.waiting[c] = v.waiting[c][1:]
+// runNext runs the next job, and schedules another call while jobs wait.
+func (v *machine) runNext() {
+	if c, ok := v.nextClass(); ok {
+		f := v.queues[c][0].do
+		v.queues[c] = v.queues[c][1:]
 		f()
 	}
-	v.dropOld()
-	if len(v.waiting[classSend])+len(v.waiting[classLink])+len(v.waiting[classCaller]) == 0 {
-		v.working = false
+	v.dropExpired()
+	if len(v.queues[classSend])+len(v.queues[classLink])+len(v.queues[classCaller]) == 0 {
+		v.busy = false
 		return
 	}
-	v.later(v.size.cost, v.next)
+	v.afterInLife(v.size.messageTime, v.runNext)
 }
 
 // dropExpired drops datagrams of callers that have waited too long.
-func (v *machine) dropOld() {
-	w := v.waiting[classCaller]
-	for len(w) > 0 && v.w.now-w[0].came >= callersPatience {
+func (v *machine) dropExpired() {
+	w := v.queues[classCaller]
+	for len(w) > 0 && v.w.now-w[0].queuedAt >= maxCallerWait {
 		w = w[1:]
 	}
-	v.waiting[classCaller] = w
+	v.queues[classCaller] = w
 }
 
 // nextClass returns the class of the next job, or false if no job waits.
-func (v *machine) first() (class, bool) {
+func (v *machine) nextClass() (class, bool) {
 	switch {
-	case len(v.waiting[classSend]) > 0:
+	case len(v.queues[classSend]) > 0:
 		return classSend, true
-	case len(v.waiting[classLink]) > 0 && (len(v.waiting[classCaller]) == 0 || v.turn < linkTurn):
-		v.turn++
+	case len(v.queues[classLink]) > 0 && (len(v.queues[classCaller]) == 0 || v.linkStreak < linkMessagesPerCaller):
+		v.linkStreak++
 		return classLink, true
 	}
-	v.turn = 0
-	return classCaller, len(v.waiting[classCaller]) > 0
+	v.linkStreak = 0
+	return classCaller, len(v.queues[classCaller]) > 0
 }
 
 // afterInLife calls f after d, unless the process has been stopped by then.
-func (v *machine) later(d time.Duration, f func()) {
-	if d == 0 && !v.size.bounded() {
+func (v *machine) afterInLife(d time.Duration, f func()) {
+	if d == 0 && !v.size.limited() {
 		f()
 		return
 	}
