--- a/experiment/faults.go
+++ b/experiment/faults.go
@@ -6,13 +6,14 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// powerLoss stops everything for d; each VM starts within 0.3 s then.
-func (w *world) powerLoss(d time.Duration) {
-	for _, v := range w.balancersInOrder() {
+// powerLoss stops all balancers, agents and upstreams for d. Each VM then starts within
+// another 0.3 s.
+func (w *simulation) powerLoss(d time.Duration) {
+	for _, v := range w.balancersByAddress() {
 		v.stop()
 		w.after(d+time.Duration(w.rng.Int64N(int64(300*time.Millisecond))), v.start)
 	}
-	for _, v := range w.agentsInOrder() {
+	for _, v := range w.agentsByAddress() {
 		if v.lost {
 			continue
 		}
@@ -27,10 +28,11 @@
 	}
 }
 
-// killAll ends every process; upstreams live on, and processes are back after d.
-func (w *world) killAll(d time.Duration) {
-	w.restart(len(w.balancers), d)
-	for _, v := range w.agentsInOrder() {
+// killAll stops every balancer and agent process and starts them again after d. Upstreams
+// keep running.
+func (w *simulation) killAll(d time.Duration) {
+	w.restartBalancers(len(w.balancers), d)
+	for _, v := range w.agentsByAddress() {
 		if v.lost {
 			continue
 		}
@@ -39,30 +41,33 @@
 	}
 }
 
-// restart ends n balancers, of different places in the order of addresses, for d.
-func (w *world) restart(n int, d time.Duration) {
-	for _, v := range spread(w.balancersInOrder(), n) {
+// restartBalancers stops n balancers, evenly spaced in the order of addresses, and starts
+// them again after d.
+func (w *simulation) restartBalancers(n int, d time.Duration) {
+	for _, v := range evenlySpaced(w.balancersByAddress(), n) {
 		v.stop()
 		w.after(d, v.start)
 	}
 }
 
-// each does something to n agents' VMs that live, of different places in the order of
-// addresses, so that a day hits several availability zones.
-func (w *world) each(n int, do func(*agentVM)) {
+// forEachLiveAgent calls do for n agent VMs that run and whose upstreams run and do not
+// drain. The VMs are evenly spaced in the order of addresses, so that a fault affects
+// several availability zones.
+func (w *simulation) forEachLiveAgent(n int, do func(*agentVM)) {
 	var live []*agentVM
-	for _, v := range w.agentsInOrder() {
+	for _, v := range w.agentsByAddress() {
 		if v.up && v.u.alive && !v.u.draining {
 			live = append(live, v)
 		}
 	}
-	for _, v := range spread(live, n) {
+	for _, v := range evenlySpaced(live, n) {
 		do(v)
 	}
 }
 
-// spread returns n of the VMs, or all, as far from each other in their order as they can be.
-func spread[V any](vs []V, n int) []V {
+// evenlySpaced returns n of the VMs, or all if there are fewer, at even distances in
+// their order.
+func evenlySpaced[V any](vs []V, n int) []V {
 	n = min(n, len(vs))
 	out := make([]V, 0, n)
 	for i := range n {
@@ -71,32 +76,33 @@
 	return out
 }
 
-// lose takes the VM away for good.
+// lose stops the VM and its upstream permanently.
 func (v *agentVM) lose() {
 	v.lost = true
 	v.stop()
 	v.u.crash()
 }
 
-// crash ends the upstream alone.
+// crash stops the upstream; its agent keeps running.
 func (v *agentVM) crash() { v.u.crash() }
 
-// drain has the upstream say with its next heartbeat that it leaves.
+// drain makes the upstream announce with its next heartbeat that it drains.
 func (v *agentVM) drain() { v.u.draining = true }
 
-// cutOff cuts n balancers off from all VMs but each other, for d.
-func (w *world) cutOff(n int, d time.Duration) {
-	w.cut = map[datagram.IP]bool{}
-	for i, v := range w.balancersInOrder() {
+// partition cuts the first n balancers off from all other VMs for d. They can still reach
+// each other and callers.
+func (w *simulation) partition(n int, d time.Duration) {
+	w.partitioned = map[datagram.IP]bool{}
+	for i, v := range w.balancersByAddress() {
 		if i < n {
-			w.cut[v.ip] = true
+			w.partitioned[v.ip] = true
 		}
 	}
-	w.after(d, func() { w.cut = nil })
+	w.after(d, func() { w.partitioned = nil })
 }
 
-// burst adds n callers for d.
-func (w *world) burst(n int, d time.Duration) {
+// burst adds n callers that stop after d.
+func (w *simulation) burst(n int, d time.Duration) {
 	first := len(w.callers)
 	for i := range n {
 		c := w.addCaller(first+i, callerPause)
@@ -104,25 +110,26 @@
 	}
 }
 
-// lossy loses a share of the datagrams between VMs for d.
-func (w *world) lossy(share float64, d time.Duration) {
-	w.loss = share
-	w.after(d, func() { w.loss = 0 })
+// loseDatagrams drops the given share of the datagrams between VMs for d.
+func (w *simulation) loseDatagrams(share float64, d time.Duration) {
+	w.lossRate = share
+	w.after(d, func() { w.lossRate = 0 })
 }
 
-// freeze has n balancers stand still for d. What comes meanwhile waits for them.
-func (w *world) freeze(n int, d time.Duration) {
-	for _, v := range spread(w.balancersInOrder(), n) {
+// freeze pauses n balancers for d. Datagrams that arrive meanwhile are queued.
+func (w *simulation) freeze(n int, d time.Duration) {
+	for _, v := range evenlySpaced(w.balancersByAddress(), n) {
 		if !v.up || v.frozen {
 			continue
 		}
 		v.frozen = true
-		v.later(d, v.thaw)
+		v.afterInLife(d, v.unfreeze)
 	}
 }
 
-// slowStore has the store answer balancers that start after wait, for d.
-func (w *world) slowStore(wait, d time.Duration) {
-	w.storeRead = wait
-	w.after(d, func() { w.storeRead = 0 })
+// slowStore sets the latency of the store for balancers and agents that start within the
+// next d.
+func (w *simulation) slowStore(wait, d time.Duration) {
+	w.storeLatency = wait
+	w.after(d, func() { w.storeLatency = 0 })
 }
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -16,19 +16,22 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// ErrBroken says that a promise to callers was broken on some day.
+// ErrBroken reports that a day has breaches: a guarantee to callers was violated.
 var ErrBroken = errors.New("a promise was broken; see breaches in the report")
 
-// Second is what became of the requests that began in one second of a day.
+// Second counts the requests that started in one second of a day, by their outcome.
 type Second struct {
-	Begun  int `json:"begun"`
-	InAim  int `json:"inAim"`
-	Late   int `json:"late"`
+	Begun int `json:"begun"`
+	// InAim counts requests answered within their aim, the target latency of the route.
+	InAim int `json:"inAim"`
+	// Late counts requests answered after the target latency.
+	Late int `json:"late"`
+	// Failed counts requests that timed out.
 	Failed int `json:"failed"`
 }
 
-// Share returns the requests that were answered within their aim, as a share of those
-// that began; 1 if none did.
+// Share returns the share of requests that were answered within the target latency; 1 if
+// no request started.
 func (s Second) Share() float64 {
 	if s.Begun == 0 {
 		return 1
@@ -36,29 +39,32 @@
 	return float64(s.InAim) / float64(s.Begun)
 }
 
-// Day is what one day came to.
+// Day is the result of one simulated day.
 type Day struct {
 	Policy  Policy   `json:"policy"`
 	Seed    uint64   `json:"seed"`
 	Seconds []Second `json:"seconds"`
 	Total   Second   `json:"total"`
-	// Worst is the second with the least share, WorstAt which one that is.
+	// Worst is the second with the lowest share, and WorstAt is its index.
 	Worst   Second `json:"worst"`
 	WorstAt int    `json:"worstAt"`
-	// Shed are tries that upstreams refused, Resets flows and openings that were reset.
+	// Shed counts the attempts that upstreams refused because their queues were full.
+	// Resets counts flows and openings that were reset.
 	Shed   int `json:"shed"`
 	Resets int `json:"resets"`
-	// ControlMost and ControlMean are bytes of control messages that a VM heard in a
-	// second, the most and on average, with their IP and UDP headers.
+	// ControlMost and ControlMean are the bytes of control messages that were sent to a
+	// VM per second, with their IP and UDP headers: the maximum and the mean over the VMs.
 	ControlMost int `json:"controlMost"`
 	ControlMean int `json:"controlMean"`
-	// Script is the faults that were drawn; of a day with breaches those that are needed.
+	// Script holds the faults that were drawn. On a day with breaches, it is reduced to
+	// those that are needed to cause one.
 	Script []string `json:"script,omitempty"`
-	// Breaches are promises that were broken, with the time since the site's start.
+	// Breaches are the violations of guarantees to callers, each with the time since the
+	// start of the simulation.
 	Breaches []string `json:"breaches,omitempty"`
 }
 
-// Report is what an experiment came to.
+// Report is the result of an experiment.
 type Report struct {
 	Balancers int   `json:"balancers"`
 	Agents    int   `json:"agents"`
@@ -66,47 +72,48 @@
 	Days      []Day `json:"days"`
 }
 
-// Run plays the days and writes a table to out and the files that the options name. It
-// returns ErrBroken if a promise was broken.
+// Run simulates the days, writes a table to out and writes the files that the options
+// name. It returns ErrBroken if a day has breaches.
 func Run(ctx context.Context, o Options, out io.Writer) error {
-	fs, err := o.script()
+	fs, err := o.loadScript()
 	if err != nil {
 		return err
 	}
-	r := Report{Balancers: o.Balancers, Agents: o.Agents, Callers: o.callers()}
+	r := Report{Balancers: o.Balancers, Agents: o.Agents, Callers: o.callerCount()}
 	for _, p := range o.Policy {
 		for i := range o.Days {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			d, err := o.day(p, o.Seed+uint64(i), fs)
+			d, err := o.simulateDay(p, o.Seed+uint64(i), fs)
 			if err != nil {
 				return err
 			}
 			r.Days = append(r.Days, d)
 		}
 	}
-	r.table(out)
-	if err := r.write(o.Report, out); err != nil {
+	r.writeTable(out)
+	if err := r.writeJSON(o.Report, out); err != nil {
 		return err
 	}
 	if o.Plot != "" {
-		if err := r.plot(o.Plot); err != nil {
+		if err := r.writePlot(o.Plot); err != nil {
 			return eris.Wrap(err, "plot")
 		}
 	}
-	return r.broken()
+	return r.firstBreach()
 }
 
-// day plays a day of the script, or of drawn faults.
-func (o *Options) day(p Policy, seed uint64, fs []fault) (Day, error) {
+// simulateDay simulates a day with the faults of the script, or with drawn faults.
+func (o *Options) simulateDay(p Policy, seed uint64, fs []fault) (Day, error) {
 	if o.Draw > 0 {
-		return o.playDrawn(p, seed)
+		return o.simulateDrawn(p, seed)
 	}
-	return o.play(p, seed, fs)
+	return o.simulate(p, seed, fs)
 }
 
-func (o *Options) script() ([]fault, error) {
+// loadScript reads and parses the script file, if there is one.
+func (o *Options) loadScript() ([]fault, error) {
 	if o.Script == "" {
 		return nil, nil
 	}
@@ -119,20 +126,21 @@
 }
 
 const (
-	// settle is how long a site runs before its callers come, and with them before the
-	// day begins, so that all have heard of each other and flows are open.
-	settle = 3 * time.Second
-	// after is how long a day is played on, so that its last requests end.
-	after = 2 * time.Second
+	// settleTime is how long a site runs before its callers start, and then again before
+	// the day starts. In that time, processes discover each other and callers open flows.
+	settleTime = 3 * time.Second
+	// completionTime is how long the simulation runs after the end of the day, so that
+	// the last requests are answered or fail.
+	completionTime = 2 * time.Second
 	// callerPause is the mean pause between a caller's requests.
 	callerPause = time.Second
-	// freshEach is how many callers have one who opens a flow for each request.
-	freshEach = 4
+	// flowPerRequestInterval: one in so many callers opens a new flow for each request.
+	flowPerRequestInterval = 4
 )
 
-// play plays one day.
-func (o *Options) play(p Policy, seed uint64, fs []fault) (Day, error) {
-	w, err := newWorld(seed)
+// simulate simulates one day with the given faults.
+func (o *Options) simulate(p Policy, seed uint64, fs []fault) (Day, error) {
+	w, err := newSimulation(seed)
 	if err != nil {
 		return Day{}, err
 	}
@@ -140,32 +148,33 @@
 	for i := range o.Balancers {
 		var s size
 		if i >= o.Balancers-o.Small {
-			s = o.small()
+			s = o.smallVMSize()
 		}
 		w.addBalancer(i, s)
 	}
 	for i := range o.Agents {
 		w.addAgent(i, zoneName(i%o.Zones)).tick()
 	}
-	w.run(settle)
-	for i := range o.callers() {
-		w.addCaller(i, callerPause).fresh = i%freshEach == freshEach-1
+	w.runUntil(settleTime)
+	for i := range o.callerCount() {
+		w.addCaller(i, callerPause).flowPerRequest = i%flowPerRequestInterval == flowPerRequestInterval-1
 	}
-	w.run(2 * settle)
-	w.dayStart, w.heard = w.now, map[datagram.IP]int{}
+	w.runUntil(2 * settleTime)
+	w.dayStart, w.controlBytes = w.now, map[datagram.IP]int{}
 	for _, f := range fs {
-		w.after(f.at, func() { f.do(w) })
+		w.after(f.at, func() { f.apply(w) })
 	}
 	resets, shed := w.resets, w.shed
-	w.run(w.dayStart + o.Length + after)
+	w.runUntil(w.dayStart + o.Length + completionTime)
 	d := Day{Policy: p, Seed: seed, Shed: w.shed - shed, Resets: w.resets - resets, Breaches: w.breaches}
-	d.count(w.seconds, int(o.Length/time.Second))
-	d.control(w, o.Length+after)
+	d.countSeconds(w.seconds, int(o.Length/time.Second))
+	d.countControl(w, o.Length+completionTime)
 	return d, nil
 }
 
-// count takes in the seconds of the day itself.
-func (d *Day) count(ss []Second, length int) {
+// countSeconds stores the seconds of the day, without the time after its end, and
+// computes the total and the worst second.
+func (d *Day) countSeconds(ss []Second, length int) {
 	d.Seconds = ss[:min(len(ss), length)]
 	for i, s := range d.Seconds {
 		d.Total.Begun += s.Begun
@@ -178,18 +187,20 @@
 	}
 }
 
-func (d *Day) control(w *world, length time.Duration) {
+// countControl computes the control traffic per VM and second.
+func (d *Day) countControl(w *simulation, length time.Duration) {
 	sum := 0
-	for _, n := range w.heard {
+	for _, n := range w.controlBytes {
 		d.ControlMost = max(d.ControlMost, n)
 		sum += n
 	}
 	s := max(1, int(length/time.Second))
 	d.ControlMost /= s
-	d.ControlMean = sum / s / max(1, len(w.heard))
+	d.ControlMean = sum / s / max(1, len(w.controlBytes))
 }
 
-func (r *Report) table(out io.Writer) {
+// writeTable writes one row for each day.
+func (r *Report) writeTable(out io.Writer) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "policy\tseed\trequests\tin aim\tlate\tfailed\tworst second\tat\tshed\tresets\tcontrol B/s, most\tbreaches\t")
 	for _, d := range r.Days {
@@ -200,8 +211,9 @@
 	t.Flush()
 }
 
-// write writes the report as JSON to the file, or to out for "-".
-func (r *Report) write(file string, out io.Writer) error {
+// writeJSON writes the report as JSON to the file, or to out for "-". It does nothing if
+// no file is given.
+func (r *Report) writeJSON(file string, out io.Writer) error {
 	if file == "" {
 		return nil
 	}
@@ -217,18 +229,19 @@
 	return os.WriteFile(file, b, 0o644)
 }
 
-// faults returns the drawn faults as the end of a message.
-func (d *Day) faults() string {
+// faultsSuffix returns the drawn faults as the end of an error message.
+func (d *Day) faultsSuffix() string {
 	if len(d.Script) == 0 {
 		return ""
 	}
 	return "; faults: " + strings.Join(d.Script, "; ")
 }
 
-func (r *Report) broken() error {
+// firstBreach returns an error with the first breach, or nil if no day has one.
+func (r *Report) firstBreach() error {
 	for _, d := range r.Days {
 		if len(d.Breaches) > 0 {
-			return eris.Wrapf(ErrBroken, "seed %d: %s%s", d.Seed, d.Breaches[0], d.faults())
+			return eris.Wrapf(ErrBroken, "seed %d: %s%s", d.Seed, d.Breaches[0], d.faultsSuffix())
 		}
 	}
 	return nil
--- a/experiment/script.go
+++ b/experiment/script.go
@@ -13,68 +13,79 @@
 	"pomeloway.example/pomeloway/settings"
 )
 
-// fault is one line of a script: what happens to a site, and when.
+// fault is one line of a script: an event that affects the site, and its time.
 type fault struct {
-	at   time.Duration
-	verb string
-	do   func(*world)
+	at    time.Duration
+	verb  string
+	apply func(*simulation)
 }
 
-// verbs are what a script may say. Each takes its arguments and returns what is done.
+// verbs are the faults that a script may contain. Each function parses the arguments of
+// its verb and returns the function that applies the fault. AT is the time since the start
+// of the day, FOR the duration of the fault.
 //
-//	AT power FOR        every VM loses power for so long; upstreams hold nothing then
-//	AT kill FOR         every process ends for so long; upstreams live on
-//	AT restart N FOR    N balancers end and are back after so long
-//	AT lose N           N upstreams' VMs are lost for good
-//	AT crash N          N upstreams end, their agents live
-//	AT drain N          N upstreams begin to leave
-//	AT cut N FOR        N balancers reach callers and each other only, for so long
-//	AT out ZONE         an availability zone is taken out
-//	AT in ZONE          it is taken back
-//	AT burst N FOR      N more callers, for so long
-//	AT loss SHARE FOR   so many datagrams between VMs are lost, for so long
-//	AT reroute          routers send nearly all flows through other balancers
-//	AT freeze N FOR     N balancers stand still for so long
-//	AT store WAIT FOR   the store takes so long to answer balancers that start, for so long
-var verbs = map[string]func(*args) func(*world){
-	"power": func(a *args) func(*world) { d := a.duration(); return func(w *world) { w.powerLoss(d) } },
-	"kill":  func(a *args) func(*world) { d := a.duration(); return func(w *world) { w.killAll(d) } },
-	"restart": func(a *args) func(*world) {
+//	AT power FOR        all VMs lose power; upstreams lose their flows
+//	AT kill FOR         all balancer and agent processes are down; upstreams keep running
+//	AT restart N FOR    N balancers are down
+//	AT lose N           N upstream VMs are lost permanently
+//	AT crash N          N upstreams crash; their agents keep running
+//	AT drain N          N upstreams start to drain
+//	AT cut N FOR        N balancers can reach only callers and each other
+//	AT out ZONE         an availability zone is taken out of service
+//	AT in ZONE          an availability zone is put back into service
+//	AT burst N FOR      N additional callers send requests
+//	AT loss SHARE FOR   this share (0 to 1) of the datagrams between VMs is lost
+//	AT reroute          the router sends nearly all flows through other balancers
+//	AT freeze N FOR     N balancers are paused
+//	AT store WAIT FOR   the store takes WAIT to answer processes that start
+var verbs = map[string]func(*args) func(*simulation){
+	"power": func(a *args) func(*simulation) { d := a.duration(); return func(w *simulation) { w.powerLoss(d) } },
+	"kill":  func(a *args) func(*simulation) { d := a.duration(); return func(w *simulation) { w.killAll(d) } },
+	"restart": func(a *args) func(*simulation) {
 		n, d := a.count(), a.duration()
-		return func(w *world) { w.restart(n, d) }
+		return func(w *simulation) { w.restartBalancers(n, d) }
 	},
-	"lose":  func(a *args) func(*world) { n := a.count(); return func(w *world) { w.each(n, (*agentVM).lose) } },
-	"crash": func(a *args) func(*world) { n := a.count(); return func(w *world) { w.each(n, (*agentVM).crash) } },
-	"drain": func(a *args) func(*world) { n := a.count(); return func(w *world) { w.each(n, (*agentVM).drain) } },
-	"cut": func(a *args) func(*world) {
+	"lose": func(a *args) func(*simulation) {
+		n := a.count()
+		return func(w *simulation) { w.forEachLiveAgent(n, (*agentVM).lose) }
+	},
+	"crash": func(a *args) func(*simulation) {
+		n := a.count()
+		return func(w *simulation) { w.forEachLiveAgent(n, (*agentVM).crash) }
+	},
+	"drain": func(a *args) func(*simulation) {
+		n := a.count()
+		return func(w *simulation) { w.forEachLiveAgent(n, (*agentVM).drain) }
+	},
+	"cut": func(a *args) func(*simulation) {
 		n, d := a.count(), a.duration()
-		return func(w *world) { w.cutOff(n, d) }
+		return func(w *simulation) { w.partition(n, d) }
 	},
-	"out": func(a *args) func(*world) { z := a.zone(); return func(w *world) { w.zoneOut(z, true) } },
-	"in":  func(a *args) func(*world) { z := a.zone(); return func(w *world) { w.zoneOut(z, false) } },
-	"burst": func(a *args) func(*world) {
+	"out": func(a *args) func(*simulation) { z := a.zone(); return func(w *simulation) { w.setZoneOut(z, true) } },
+	"in":  func(a *args) func(*simulation) { z := a.zone(); return func(w *simulation) { w.setZoneOut(z, false) } },
+	"burst": func(a *args) func(*simulation) {
 		n, d := a.count(), a.duration()
-		return func(w *world) { w.burst(n, d) }
+		return func(w *simulation) { w.burst(n, d) }
 	},
-	"loss": func(a *args) func(*world) {
+	"loss": func(a *args) func(*simulation) {
 		x, d := a.share(), a.duration()
-		return func(w *world) { w.lossy(x, d) }
+		return func(w *simulation) { w.loseDatagrams(x, d) }
 	},
-	"reroute": func(*args) func(*world) { return func(w *world) { w.routing++ } },
-	"freeze": func(a *args) func(*world) {
+	"reroute": func(*args) func(*simulation) { return func(w *simulation) { w.routeSalt++ } },
+	"freeze": func(a *args) func(*simulation) {
 		n, d := a.count(), a.duration()
-		return func(w *world) { w.freeze(n, d) }
+		return func(w *simulation) { w.freeze(n, d) }
 	},
-	"store": func(a *args) func(*world) {
+	"store": func(a *args) func(*simulation) {
 		x, d := a.duration(), a.duration()
-		return func(w *world) { w.slowStore(x, d) }
+		return func(w *simulation) { w.slowStore(x, d) }
 	},
 }
 
-// parseScript reads a script. All findings are reported together, each with its line.
+// parseScript parses a script. It reports all errors together, each with its line number.
 func parseScript(r io.Reader, zones int) ([]fault, error) {
 	var out []fault
-	var found settings.Faults
+	var problems settings.Faults
 	s := bufio.NewScanner(r)
 	for n := 1; s.Scan(); n++ {
 		text, _, _ := strings.Cut(s.Text(), "#")
@@ -84,35 +95,37 @@
 		}
 		a := &args{words: words, zones: zones}
 		f := fault{at: a.duration(), verb: a.word()}
-		if make, ok := verbs[f.verb]; ok {
-			f.do = make(a)
+		if parse, ok := verbs[f.verb]; ok {
+			f.apply = parse(a)
 		} else {
-			a.wrong("is no fault", f.verb)
+			a.reject("is not a known fault", f.verb)
 		}
-		a.end()
-		for _, t := range a.found {
-			found = append(found, fmt.Sprintf("script, line %d: %s", n, t))
+		a.expectEnd()
+		for _, t := range a.problems {
+			problems = append(problems, fmt.Sprintf("script, line %d: %s", n, t))
 		}
 		out = append(out, f)
 	}
 	if err := s.Err(); err != nil {
 		return nil, err
 	}
-	return out, found.All()
+	return out, problems.All()
 }
 
-// args takes the words of a line one after another and collects findings.
+// args parses the words of a line one after another and collects the errors.
 type args struct {
-	words []string
-	zones int
-	found []string
+	words    []string
+	zones    int
+	problems []string
 }
 
-func (a *args) wrong(what, word string) { a.found = append(a.found, fmt.Sprintf("%q %s", word, what)) }
+func (a *args) reject(what, word string) {
+	a.problems = append(a.problems, fmt.Sprintf("%q %s", word, what))
+}
 
 func (a *args) next() string {
 	if len(a.words) == 0 {
-		a.found = append(a.found, "something is missing at the end")
+		a.problems = append(a.problems, "an argument is missing at the end")
 		return ""
 	}
 	w := a.words[0]
@@ -120,9 +133,10 @@
 	return w
 }
 
-func (a *args) end() {
+// expectEnd reports an error if words are left.
+func (a *args) expectEnd() {
 	if len(a.words) > 0 {
-		a.wrong("is too much", a.words[0])
+		a.reject("is an unexpected argument", a.words[0])
 	}
 }
 
@@ -132,7 +146,7 @@
 	t := a.next()
 	d, err := time.ParseDuration(t)
 	if t != "" && (err != nil || d < 0) {
-		a.wrong("is no duration such as 1.5s", t)
+		a.reject("is not a duration such as 1.5s", t)
 	}
 	return d
 }
@@ -141,7 +155,7 @@
 	t := a.next()
 	n, err := strconv.Atoi(t)
 	if t != "" && (err != nil || n < 1) {
-		a.wrong("is no number above 0", t)
+		a.reject("is not a whole number above 0", t)
 	}
 	return n
 }
@@ -150,7 +164,7 @@
 	t := a.next()
 	x, err := strconv.ParseFloat(t, 64)
 	if t != "" && (err != nil || !(x >= 0 && x <= 1)) {
-		a.wrong("is no share of 0 to 1", t)
+		a.reject("is not a share from 0 to 1", t)
 	}
 	return x
 }
@@ -163,23 +177,24 @@
 		}
 	}
 	if t != "" {
-		a.wrong("is no availability zone of this site", t)
+		a.reject("is not an availability zone of this site", t)
 	}
 	return t
 }
 
-// zoneName is how the availability zones of a site are called: zone-0 and so on.
+// zoneName returns the name of the n-th availability zone of a site, from zone-0.
 func zoneName(n int) string { return fmt.Sprintf("zone-%d", n) }
 
-// zoneOut takes an availability zone out or back in, which balancers hear at once.
-func (w *world) zoneOut(zone string, out bool) {
+// setZoneOut takes an availability zone out of service or puts it back. All balancers
+// learn of it at once.
+func (w *simulation) setZoneOut(zone string, out bool) {
 	k := datagram.ZoneKeyOf(zone)
-	w.out = slices.DeleteFunc(slices.Clone(w.out), func(x datagram.ZoneKey) bool { return x == k })
+	w.zonesOut = slices.DeleteFunc(slices.Clone(w.zonesOut), func(x datagram.ZoneKey) bool { return x == k })
 	if out {
-		w.out = append(w.out, k)
+		w.zonesOut = append(w.zonesOut, k)
 	}
-	w.revision = uint64(w.now)
-	for _, v := range w.balancersInOrder() {
-		v.b.SetZonesOut(w.out, w.revision, w.now-v.since)
+	w.zonesRevision = uint64(w.now)
+	for _, v := range w.balancersByAddress() {
+		v.b.SetZonesOut(w.zonesOut, w.zonesRevision, w.now-v.startedAt)
 	}
 }
--- a/experiment/vm.go
+++ b/experiment/vm.go
@@ -8,191 +8,200 @@
 	"pomeloway.example/pomeloway/datagram"
 )
 
-// size is what a VM can do. The zero value is without bounds.
+// size is the processing and network capacity of a VM. The zero value has no limits.
 type size struct {
-	// cost is what a message that is taken or sent costs of the processor.
-	cost time.Duration
-	// link is the bytes a second of either direction of the VM's link.
-	link float64
+	// messageTime is the processor time for receiving or sending a message.
+	messageTime time.Duration
+	// bandwidth is the capacity of the VM's link in each direction, in bytes per second.
+	bandwidth float64
 }
 
-func (s size) bounded() bool { return s != size{} }
+// limited reports whether the VM has any limit.
+func (s size) limited() bool { return s != size{} }
 
-// lookupRate is what the node works out of the same bounds for its balancer; 0 if there
-// are none.
+// lookupRate returns the rate limit for lookups that a real node derives from the same
+// limits for its balancer; 0 if there are none.
 func (s size) lookupRate() float64 {
 	cores := 0.0
-	if s.cost > 0 {
-		cores = float64(wholeCost) / float64(s.cost)
+	if s.messageTime > 0 {
+		cores = float64(fullCoreMessageTime) / float64(s.messageTime)
 	}
-	return datagram.LookupRate(cores, s.link/bytesOfMegabit)
+	return datagram.LookupRate(cores, s.bandwidth/bytesPerMegabit)
 }
 
 const (
-	// wholeCost is what a message costs of a whole core.
-	wholeCost = 40 * time.Microsecond
-	// unreadMost are the datagrams that wait for a processor before more are dropped, and
-	// callersPatience is how long those of callers wait.
-	unreadMost      = 500
-	callersPatience = 100 * time.Millisecond
-	// linkTurn is how many of the fleet's own messages go before one of a caller.
-	linkTurn = 8
-	// queuedMost is the time that datagrams wait for a link before more are dropped.
-	queuedMost = 100 * time.Millisecond
+	// fullCoreMessageTime is the processor time for a message on a full core.
+	fullCoreMessageTime = 40 * time.Microsecond
+	// maxReceiveQueue is the length of each receive queue; further datagrams are dropped.
+	maxReceiveQueue = 500
+	// maxCallerWait is how long a caller's datagram may wait for the processor before it
+	// is dropped.
+	maxCallerWait = 100 * time.Millisecond
+	// linkMessagesPerCaller is how many messages of the fleet are processed before one
+	// of a caller.
+	linkMessagesPerCaller = 8
+	// maxLinkWait limits the queue of a link: datagrams that would wait longer are dropped.
+	maxLinkWait = 100 * time.Millisecond
 )
 
-// lane is one direction of a link.
-type lane struct{ free time.Duration }
+// linkDirection is one direction of a link, which is busy until freeAt.
+type linkDirection struct{ freeAt time.Duration }
 
-// pass returns how long a datagram waits until it is through, and false if it is dropped.
-func (l *lane) pass(now time.Duration, bytes int, rate float64) (time.Duration, bool) {
+// enqueue adds a datagram to the queue of the link. It returns the time until the datagram
+// has been transmitted, or false if it is dropped.
+func (l *linkDirection) enqueue(now time.Duration, bytes int, rate float64) (time.Duration, bool) {
 	if rate == 0 {
 		return 0, true
 	}
-	begin := max(l.free, now)
-	if begin-now > queuedMost {
+	start := max(l.freeAt, now)
+	if start-now > maxLinkWait {
 		return 0, false
 	}
-	l.free = begin + time.Duration(float64(bytes)/rate*float64(time.Second))
-	return l.free - now, true
+	l.freeAt = start + time.Duration(float64(bytes)/rate*float64(time.Second))
+	return l.freeAt - now, true
 }
 
-// class orders the work of a processor.
+// class is the scheduling class of a job.
 type class uint8
 
 const (
-	// classSend: what was handled is sent before anything else is.
+	// classSend is for sending. It has priority over all other jobs, so that the results
+	// of a job are sent before the next job starts.
 	classSend class = iota
+	// classLink is for messages from other VMs of the fleet.
 	classLink
+	// classCaller is for datagrams from callers.
 	classCaller
-	classEnd
+	classCount // number of classes
 )
 
-// job is something for a processor to do.
+// job is a task that waits for the processor.
 type job struct {
-	came time.Duration
-	do   func()
+	queuedAt time.Duration
+	do       func()
 }
 
-// machine is a VM with a processor and a link.
+// machine simulates the processor and the link of a VM.
 type machine struct {
-	w       *world
-	size    size
-	life    int
-	waiting [classEnd][]job
-	working bool
-	turn    int // messages of the fleet since the last of a caller
-	in, out lane
-	// outbox is what it sends at this moment, which is sent in an order of its own, as
-	// members are told in that of a map.
-	outbox []sending
+	w                 *simulation
+	size              size
+	life              int // increases with each start and stop, so that callbacks of an earlier run are ignored
+	queues            [classCount][]job
+	busy              bool
+	linkStreak        int // messages of the fleet since the last one of a caller
+	inbound, outbound linkDirection
+	// outbox holds the datagrams sent at the current time. They are sorted by destination
+	// before they are sent, as the code under test sends in the random order of a map.
+	outbox []outgoing
 }
 
-// sending is a datagram on its way out.
-type sending struct {
+// outgoing is a datagram in the outbox.
+type outgoing struct {
 	to   datagram.IP
 	b    []byte
 	send func([]byte)
 }
 
-// begin starts a life with nothing to do.
-func (v *machine) begin() {
+// beginLife resets the machine for a new start, with empty queues.
+func (v *machine) beginLife() {
 	v.life++
-	v.waiting, v.working, v.turn = [classEnd][]job{}, false, 0
-	v.in, v.out, v.outbox = lane{}, lane{}, nil
+	v.queues, v.busy, v.linkStreak = [classCount][]job{}, false, 0
+	v.inbound, v.outbound, v.outbox = linkDirection{}, linkDirection{}, nil
 }
 
-// post sends a datagram when processor and link get to it.
-func (v *machine) post(to datagram.IP, b []byte, send func([]byte)) {
-	if !v.size.bounded() {
+// enqueueSend queues a datagram for the processor and the link, and then sends it.
+func (v *machine) enqueueSend(to datagram.IP, b []byte, send func([]byte)) {
+	if !v.size.limited() {
 		send(b)
 		return
 	}
 	if len(v.outbox) == 0 {
-		v.later(0, v.flush)
+		v.afterInLife(0, v.flush)
 	}
-	v.outbox = append(v.outbox, sending{to, append([]byte(nil), b...), send})
+	v.outbox = append(v.outbox, outgoing{to, append([]byte(nil), b...), send})
 }
 
+// flush queues the datagrams of the outbox for the processor.
 func (v *machine) flush() {
 	out := v.outbox
 	v.outbox = nil
-	slices.SortStableFunc(out, func(a, b sending) int { return cmp.Compare(a.to, b.to) })
+	slices.SortStableFunc(out, func(a, b outgoing) int { return cmp.Compare(a.to, b.to) })
 	for _, x := range out {
-		v.work(classSend, func() {
-			if wait, ok := v.out.pass(v.w.now, len(x.b)+packetHeaders, v.size.link); ok {
-				v.later(wait, func() { x.send(x.b) })
+		v.submit(classSend, func() {
+			if wait, ok := v.outbound.enqueue(v.w.now, len(x.b)+ipUDPHeaderLen, v.size.bandwidth); ok {
+				v.afterInLife(wait, func() { x.send(x.b) })
 			}
 		})
 	}
 }
 
-// take has the VM handle a datagram that has arrived at its link, unless too many wait.
-func (v *machine) take(c class, bytes int, f func()) {
-	wait, ok := v.in.pass(v.w.now, bytes+packetHeaders, v.size.link)
+// enqueueReceived queues a datagram that arrives at the VM for the link and the processor,
+// which then calls f. The datagram is dropped if either queue is full.
+func (v *machine) enqueueReceived(c class, bytes int, f func()) {
+	wait, ok := v.inbound.enqueue(v.w.now, bytes+ipUDPHeaderLen, v.size.bandwidth)
 	if !ok {
 		return
 	}
-	v.later(wait, func() {
-		if len(v.waiting[c]) < unreadMost {
-			v.work(c, f)
+	v.afterInLife(wait, func() {
+		if len(v.queues[c]) < maxReceiveQueue {
+			v.submit(c, f)
 		}
 	})
 }
 
-// work has the processor do something, in its turn.
-func (v *machine) work(c class, f func()) {
-	if v.size.cost == 0 {
+// submit queues f for the processor.
+func (v *machine) submit(c class, f func()) {
+	if v.size.messageTime == 0 {
 		f()
 		return
 	}
-	v.waiting[c] = append(v.waiting[c], job{v.w.now, f})
-	if !v.working {
-		v.working = true
-		v.later(v.size.cost, v.next)
+	v.queues[c] = append(v.queues[c], job{v.w.now, f})
+	if !v.busy {
+		v.busy = true
+		v.afterInLife(v.size.messageTime, v.runNext)
 	}
 }
 
-// next does what is first, and goes on while something waits.
-func (v *machine) next() {
-	if c, ok := v.first(); ok {
-		f := v.waiting[c][0].do
-		v.waiting[c] = v.waiting[c][1:]
+// runNext runs the next job, and schedules another call while jobs wait.
+func (v *machine) runNext() {
+	if c, ok := v.nextClass(); ok {
+		f := v.queues[c][0].do
+		v.queues[c] = v.queues[c][1:]
 		f()
 	}
-	v.dropOld()
-	if len(v.waiting[classSend])+len(v.waiting[classLink])+len(v.waiting[classCaller]) == 0 {
-		v.working = false
+	v.dropExpired()
+	if len(v.queues[classSend])+len(v.queues[classLink])+len(v.queues[classCaller]) == 0 {
+		v.busy = false
 		return
 	}
-	v.later(v.size.cost, v.next)
+	v.afterInLife(v.size.messageTime, v.runNext)
 }
 
-// dropOld drops callers' datagrams that have waited too long.
-func (v *machine) dropOld() {
-	w := v.waiting[classCaller]
-	for len(w) > 0 && v.w.now-w[0].came >= callersPatience {
+// dropExpired drops datagrams of callers that have waited too long.
+func (v *machine) dropExpired() {
+	w := v.queues[classCaller]
+	for len(w) > 0 && v.w.now-w[0].queuedAt >= maxCallerWait {
 		w = w[1:]
 	}
-	v.waiting[classCaller] = w
+	v.queues[classCaller] = w
 }
 
-// first returns the class of what is next; false if nothing waits.
-func (v *machine) first() (class, bool) {
+// nextClass returns the class of the next job, or false if no job waits.
+func (v *machine) nextClass() (class, bool) {
 	switch {
-	case len(v.waiting[classSend]) > 0:
+	case len(v.queues[classSend]) > 0:
 		return classSend, true
-	case len(v.waiting[classLink]) > 0 && (len(v.waiting[classCaller]) == 0 || v.turn < linkTurn):
-		v.turn++
+	case len(v.queues[classLink]) > 0 && (len(v.queues[classCaller]) == 0 || v.linkStreak < linkMessagesPerCaller):
+		v.linkStreak++
 		return classLink, true
 	}
-	v.turn = 0
-	return classCaller, len(v.waiting[classCaller]) > 0
+	v.linkStreak = 0
+	return classCaller, len(v.queues[classCaller]) > 0
 }
 
-// later does something after a while unless this life has ended.
-func (v *machine) later(d time.Duration, f func()) {
-	if d == 0 && !v.size.bounded() {
+// afterInLife calls f after d, unless the process has been stopped by then.
+func (v *machine) afterInLife(d time.Duration, f func()) {
+	if d == 0 && !v.size.limited() {
 		f()
 		return
 	}
