--- a/peer/client.go
+++ b/peer/client.go
@@ -20,31 +20,32 @@
 	"pomeloway.example/pomeloway/fleet"
 )
 
-// callTimeout bounds a call to a peer beyond the time it was asked to wait.
+// callTimeout bounds a call to a peer, on top of the requested long-poll wait.
 const callTimeout = 3 * time.Second
 
-// maxChange bounds the answer of a peer, in bytes: a whole large fleet.
+// maxChange bounds a peer's response in bytes, before and after decompression.
+// The full view of a large fleet fits.
 const maxChange = 64 << 20
 
-// Client calls peers. It follows over connections of their own, which are kept
-// alive less often than those that carry callers' requests.
+// Client calls peers. Callers' requests and view synchronization use separate
+// connections: those for synchronization send keep-alives less often.
 type Client struct {
 	calls, follows *http3.Transport
 
 	mu sync.Mutex
-	// have is the dictionary of the bundle in force.
+	// have is the compression dictionary built from the bundle in force.
 	have *dictionary
 }
 
-// NewClient returns a client with the identity.
+// NewClient returns a client that authenticates with the identity.
 func NewClient(i *Identity) *Client {
 	transport := func(idle, alive time.Duration) *http3.Transport {
 		return &http3.Transport{
 			QUICConfig: &quic.Config{
 				HandshakeIdleTimeout: peerHandshake, MaxIdleTimeout: idle, KeepAlivePeriod: alive, MaxIncomingStreams: peerStreams,
 			},
-			// The key to present is that of the moment: one taken when the
-			// process started would be refused once operators retire it.
+			// The TLS settings are built for each connection, because peers reject
+			// the key from process start once operators have retired it.
 			Dial: func(ctx context.Context, a string, _ *tls.Config, q *quic.Config) (*quic.Conn, error) {
 				return quic.DialAddr(ctx, a, i.ClientTLS(), q)
 			},
@@ -53,22 +54,23 @@
 	return &Client{calls: transport(callIdle, callAlive), follows: transport(followIdle, followAlive)}
 }
 
-// RoundTrip makes one request of a peer; the URL's host is its peer address.
+// RoundTrip sends one request to a peer; the URL's host is the peer's address.
 func (c *Client) RoundTrip(r *http.Request) (*http.Response, error) { return c.calls.RoundTrip(r) }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() {
 	c.calls.Close()
 	c.follows.Close()
 }
 
-// Position is how far a follower has read a peer's view.
+// Position is the point up to which a follower has read a peer's view.
 type Position struct {
 	Epoch, Revision uint64
 }
 
-// Follow returns what changed at the peer after the position, waiting for it.
-// have is the bundle in force here, or nil.
+// Follow returns the changes to the peer's view after the position. If there are
+// none yet, the peer waits up to wait before it responds. have is the bundle in
+// force in this process, or nil.
 func (c *Client) Follow(ctx context.Context, a netip.AddrPort, at Position, have *bundle.Accepted, wait time.Duration) (fleet.Change, error) {
 	ctx, stop := context.WithTimeout(ctx, wait+callTimeout)
 	defer stop()
@@ -87,10 +89,10 @@
 	if err != nil {
 		return out, err
 	}
-	return out, eris.Wrap(json.Unmarshal(b, &out), "peer's change")
+	return out, eris.Wrap(json.Unmarshal(b, &out), "decode peer's change")
 }
 
-// Announce tells the peer of a change.
+// Announce sends a change of the view to the peer.
 func (c *Client) Announce(ctx context.Context, a netip.AddrPort, ch fleet.Change) error {
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
@@ -106,8 +108,8 @@
 	return err
 }
 
-// dictionaryOf returns the bundle's version and its dictionary, which is made
-// anew only when the bundle in force is another.
+// dictionaryOf returns the bundle's version and its dictionary, which is cached
+// until another bundle comes into force.
 func (c *Client) dictionaryOf(a *bundle.Accepted) (bundle.Version, *dictionary, error) {
 	if a == nil {
 		return 0, nil, nil
@@ -135,7 +137,7 @@
 		return nil, eris.Wrapf(err, "peer %s", r.URL.Host)
 	}
 	if a.StatusCode >= http.StatusBadRequest {
-		return nil, eris.Errorf("peer %s answers %d: %s", r.URL.Host, a.StatusCode, b)
+		return nil, eris.Errorf("peer %s responded with status %d: %s", r.URL.Host, a.StatusCode, b)
 	}
 	b, err = unpack(b, a.Header.Get("Content-Encoding"), d)
 	return b, eris.Wrapf(err, "peer %s", r.URL.Host)
--- a/peer/identity.go
+++ b/peer/identity.go
@@ -1,6 +1,6 @@
-// Package peer is what the fleet's processes say to each other over HTTP/3:
-// they follow each other's view of the fleet and hand requests over. Both ends
-// prove that they hold a fleet key.
+// Package peer connects the processes of a fleet over HTTP/3. They synchronize
+// their views of the fleet and pass callers' requests on to each other. Both
+// ends of a connection prove that they hold a fleet key.
 package peer
 
 import (
@@ -22,23 +22,24 @@
 	"pomeloway.example/pomeloway/keyring"
 )
 
-// Identity is a process's side of mutual TLS. Each fleet key derives one
-// Ed25519 pair, so holding the key is the identity, and a key that operators
-// retire stops working at both ends with no certificate to revoke.
+// Identity holds a process's credentials for mutual TLS. An Ed25519 key pair is
+// derived from each fleet key, so every process with the fleet key has the same
+// identity. A retired key stops working at both ends without revoking a
+// certificate.
 type Identity struct {
 	mu    sync.Mutex
 	certs map[bundle.KeyID]tls.Certificate
-	// current is the key that this process presents.
+	// current is the key whose certificate this process presents as a client.
 	current bundle.KeyID
 }
 
-// NewIdentity returns the identity of a ring.
+// NewIdentity returns an identity with the keys of the ring.
 func NewIdentity(r keyring.Ring) (*Identity, error) {
 	i := &Identity{}
 	return i, i.Set(r)
 }
 
-// Set changes the keys in force; the first is the one to present.
+// Set replaces the keys in force. Clients present the first key of the ring.
 func (i *Identity) Set(r keyring.Ring) error {
 	certs := map[bundle.KeyID]tls.Certificate{}
 	for _, s := range r {
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// certificateLife is long, since the fleet key and not the date decides.
+// certificateLife is long because validity depends on the fleet keys in force,
+// not on the expiry date.
 const certificateLife = 10 * 365 * 24 * time.Hour
 
 func certificate(s keyring.Secret) (tls.Certificate, error) {
@@ -71,25 +73,25 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, k.Public(), k)
 	if err != nil {
-		return tls.Certificate{}, eris.Wrap(err, "peer certificate")
+		return tls.Certificate{}, eris.Wrap(err, "create peer certificate")
 	}
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: k}, nil
 }
 
 func serverName(id bundle.KeyID) string { return fmt.Sprintf("key-%d.pomeloway", id) }
 
-// ServerTLS returns the settings of a listener for peers.
+// ServerTLS returns the TLS settings for a listener that serves peers.
 func (i *Identity) ServerTLS() *tls.Config {
 	return http3.ConfigureTLSConfig(&tls.Config{
 		MinVersion:     tls.VersionTLS13,
 		GetCertificate: func(h *tls.ClientHelloInfo) (*tls.Certificate, error) { return i.byName(h.ServerName) },
 		ClientAuth:     tls.RequireAnyClientCert,
-		// The identity of a peer is its public key: no authority signs it.
+		// Certificates are self-signed: a peer is identified by its public key.
 		VerifyPeerCertificate: i.verify,
 	})
 }
 
-// ClientTLS returns the settings for calls to peers.
+// ClientTLS returns the TLS settings for calls to peers, with the current key.
 func (i *Identity) ClientTLS() *tls.Config {
 	i.mu.Lock()
 	name := serverName(i.current)
@@ -100,7 +102,7 @@
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return i.byName(name)
 		},
-		// VerifyPeerCertificate compares the public key in the chain's place.
+		// VerifyPeerCertificate checks the public key instead of the chain.
 		InsecureSkipVerify:    true,
 		VerifyPeerCertificate: i.verify,
 	})
@@ -114,17 +116,17 @@
 			return &c, nil
 		}
 	}
-	return nil, eris.Errorf("no fleet key in force fits %q", name)
+	return nil, eris.Errorf("no fleet key in force matches server name %q", name)
 }
 
-// verify accepts the certificate of any key in force.
+// verify accepts a certificate whose public key belongs to a fleet key in force.
 func (i *Identity) verify(raw [][]byte, _ [][]*x509.Certificate) error {
 	if len(raw) == 0 {
-		return eris.New("peer shows no certificate")
+		return eris.New("peer presented no certificate")
 	}
 	c, err := x509.ParseCertificate(raw[0])
 	if err != nil {
-		return eris.Wrap(err, "peer's certificate")
+		return eris.Wrap(err, "parse peer certificate")
 	}
 	got, ok := c.PublicKey.(ed25519.PublicKey)
 	i.mu.Lock()
@@ -135,5 +137,5 @@
 			return nil
 		}
 	}
-	return eris.New("peer holds no fleet key in force")
+	return eris.New("peer's certificate matches no fleet key in force")
 }
--- a/peer/node.go
+++ b/peer/node.go
@@ -1,10 +1,12 @@
-// This file keeps a process's view of the fleet up to date. Some balancers of
-// each zone, one for forty processes, chosen by rendezvous hashing, watch the platform and follow the
-// relays of the other zones; everybody else follows one of their zone's relays.
-// So the platform carries a few watches a zone, whatever the fleet's size, and
-// an outage of it stops nothing: views pass from peer to peer. A process that
-// reaches no relay reads the platform itself, with jitter and within its budget.
-// Given up: a change takes one more hop, some tens of milliseconds.
+// This file keeps a process's view of the fleet up to date. In each availability
+// zone some balancers act as relays, one per forty processes, chosen by
+// rendezvous hashing. Relays watch the platform and follow the relays of the
+// other zones; every other process follows one of its own zone's relays.
+//
+// The platform therefore serves only a few watches per zone, and during an
+// outage of the platform changes still spread from peer to peer. A process that
+// knows no relay reads the platform itself, with jitter and within its budget.
+// The cost is one more hop for each change, some tens of milliseconds.
 
 package peer
 
@@ -25,34 +27,39 @@
 )
 
 const (
-	// relaysLeast is how many balancers of a zone watch the platform at least,
-	// and followersMost how many processes each is to serve: a change of the
-	// bundle goes to all of them from its line.
+	// relaysLeast is the minimum number of relays per availability zone, and
+	// followersMost the number of processes that one relay should serve: it sends
+	// each change of the bundle to all of them over its own network link.
 	relaysLeast   = 2
 	followersMost = 40
-	// watchWait is how long one long poll waits.
+	// watchWait is how long one long poll waits for a change.
 	watchWait = 20 * time.Second
-	// retryFirst and retryMost bound the jittered wait after a failed call.
+	// retryFirst and retryMost bound the jittered backoff after a failed call.
 	retryFirst = 200 * time.Millisecond
 	retryMost  = 10 * time.Second
-	// renewEvery is how often a member writes its record anew, so that records
-	// nobody renews can be told from live ones.
-	renewEvery    = 10 * time.Minute
-	collectEvery  = time.Minute
-	reapAfter     = 2 * time.Minute
+	// renewEvery is how often a member rewrites its unchanged record. Records that
+	// are not renewed can so be distinguished from those of live members.
+	renewEvery = 10 * time.Minute
+	// collectEvery is how often expired state is removed from the view.
+	collectEvery = time.Minute
+	// reapAfter is how long a member must be suspected before a relay removes its
+	// object from the platform.
+	reapAfter = 2 * time.Minute
+	// currentBundle is the platform object that holds the bundle in force.
 	currentBundle = "current"
 )
 
-// Node keeps the view of one process.
+// Node synchronizes one process's view of the fleet with the platform and peers,
+// and publishes the process's own member record.
 type Node struct {
 	State    *fleet.State
 	Client   *Client
 	Platform *platform.Client
 	Log      *events.Log
-	// Seeds are peers to ask while no member is known.
+	// Seeds are followed after all known relays, and alone while none is known.
 	Seeds []netip.AddrPort
-	// Lag holds back what is heard of others; trials set it, so that views
-	// arrive unevenly. Nil means none.
+	// Lag returns a delay to apply to each received change. Tests set it to make
+	// the processes' views diverge. Nil means no delay.
 	Lag func() time.Duration
 
 	mu       sync.Mutex
@@ -63,21 +70,21 @@
 	announce chan struct{}
 }
 
-// NewNode returns a node that announces self.
+// NewNode returns a node that publishes self as its member record.
 func NewNode(s *fleet.State, c *Client, p *platform.Client, l *events.Log, self fleet.Member) *Node {
 	n := &Node{State: s, Client: c, Platform: p, Log: l, self: self, announce: make(chan struct{}, 1)}
 	s.Merge(fleet.Change{Members: []fleet.Member{self}})
 	return n
 }
 
-// Self returns the node's own record.
+// Self returns the node's own member record.
 func (n *Node) Self() fleet.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.self
 }
 
-// SetPhase changes the node's own record and announces it.
+// SetPhase changes the phase in the node's own record and publishes the record.
 func (n *Node) SetPhase(p fleet.Phase) {
 	n.mu.Lock()
 	n.self.Phase = p
@@ -88,11 +95,11 @@
 	n.wake()
 }
 
-// leaveTimeout bounds the last words of a process.
+// leaveTimeout bounds the calls that a process makes when it shuts down.
 const leaveTimeout = 2 * time.Second
 
-// Leave says that this life of the member has ended and removes its object.
-// What fails is left to the relays, which remove the objects of the dead.
+// Leave announces that this incarnation of the member has ended and deletes its
+// object from the platform. If that fails, a relay deletes the object later.
 func (n *Node) Leave() {
 	n.SetPhase(fleet.PhaseLeft)
 	ctx, stop := context.WithTimeout(context.Background(), leaveTimeout)
@@ -126,7 +133,7 @@
 	return nil
 }
 
-// pause waits for the jittered backoff; it returns false when the context ends.
+// pause sleeps for the next backoff; it returns false when the context ends.
 func pause(ctx context.Context, b *backoff.ExponentialBackOff) bool {
 	return clock.Sleep(ctx, b.NextBackOff())
 }
@@ -140,7 +147,7 @@
 
 var relayKey = fleet.HashOf([]byte("relay"))
 
-// relaysByZone returns the balancers that watch the platform for each zone.
+// relaysByZone returns the relays of each availability zone.
 func (n *Node) relaysByZone() map[bundle.ZoneID][]fleet.Member {
 	ms, _ := n.State.Snapshot()
 	doubts := n.State.Doubted()
@@ -161,7 +168,8 @@
 	return out
 }
 
-// sources is whom a node follows, as worked out from one state of the view.
+// sources are the peers that a node follows, computed from one generation of the
+// view.
 type sources struct {
 	relay      bool
 	peers      []netip.AddrPort
@@ -169,13 +177,13 @@
 	at         time.Time
 }
 
-// sourcesLife is how long sources are good without a change of the view: doubts
-// come to count with time.
+// sourcesLife is how long sources stay valid while the view does not change:
+// whether a member counts as doubted also depends on the time.
 const sourcesLife = 5 * time.Second
 
-// sources returns whether this node is a relay, and the peers to follow. Going
-// through the whole view at each question would cost each process a share of a
-// core that grows with the fleet.
+// sources returns whether this node is a relay, and the peers to follow. The
+// result is cached: scanning the whole view on each call would cost every process
+// a share of a core that grows with the fleet.
 func (n *Node) sources() (relay bool, peers []netip.AddrPort) {
 	g := n.State.Generation()
 	n.mu.Lock()
@@ -191,8 +199,8 @@
 	return k.relay, k.peers
 }
 
-// findSources finds the peers to follow, best first: those of the node's own
-// zone before the others.
+// findSources computes the peers to follow in order of preference: the relays of
+// the node's own availability zone, those of other zones, then the seeds.
 func (n *Node) findSources() (relay bool, peers []netip.AddrPort) {
 	s := n.Self()
 	var own, other []fleet.Member
@@ -215,7 +223,8 @@
 	return relay, append(peers, n.Seeds...)
 }
 
-// follow reads from one peer after another, staying with one that answers.
+// follow reads changes from peers. It stays with a peer that responds and moves on
+// to the next after a failure; a relay takes the peers in turn.
 func (n *Node) follow(ctx context.Context) {
 	b := newBackoff()
 	at := map[netip.AddrPort]Position{}
@@ -235,7 +244,7 @@
 		if n.followOnce(ctx, src[next%len(src)], at, wait) {
 			b.Reset()
 			if relay {
-				next++ // a relay goes round the others
+				next++ // a relay reads from all other relays in turn
 			}
 			continue
 		}
@@ -246,7 +255,7 @@
 	}
 }
 
-// relayWait keeps a relay's round through the other zones short.
+// relayWait is short because a relay polls its peers one after the other.
 const relayWait = time.Second
 
 func (n *Node) followOnce(ctx context.Context, a netip.AddrPort, at map[netip.AddrPort]Position, wait time.Duration) bool {
@@ -265,7 +274,7 @@
 	return true
 }
 
-// take merges a change and logs what came of it.
+// take merges a change into the view and logs the result.
 func (n *Node) take(c fleet.Change, from string) {
 	m := n.State.Merge(c)
 	if m.Err != nil {
@@ -288,19 +297,21 @@
 	}
 }
 
-// heard notices that the fleet holds another life of this very member.
+// heard republishes the node's own record with a higher revision if a newer
+// record of the same incarnation was received.
 func (n *Node) heard(m *fleet.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	// A process declared gone by mistake, while it was paused or cut off, sees
-	// its own life marked as left; a new revision takes the verdict back.
+	// A process that was removed by mistake, while it was paused or partitioned,
+	// receives its own incarnation in phase left. A higher revision overrides that.
 	if m.ID == n.self.ID && m.Incarnation == n.self.Incarnation && m.Newer(&n.self) {
 		n.self.Revision = m.Revision + 1
 		n.wake()
 	}
 }
 
-// collect forgets what has ended and, as a relay, removes dead members' objects.
+// collect periodically removes expired state from the view. On a relay it also
+// deletes the platform objects of failed members.
 func (n *Node) collect(ctx context.Context) {
 	since := map[fleet.MemberID]time.Time{}
 	for clock.Sleep(ctx, collectEvery) {
--- a/peer/pack.go
+++ b/peer/pack.go
@@ -1,8 +1,9 @@
-// This file makes long answers to followers short. Every one is compressed with
-// zstd (RFC 8878). A follower names the bundle that it has as its dictionary
-// (RFC 9842, "Available-Dictionary"); a relay that had the same one before sends
-// the next compressed against it, which leaves little but what has changed.
-// Given up: a follower more than a few bundles behind gets the whole.
+// This file compresses long responses to followers with zstd (RFC 8878). A
+// follower names its current bundle as a dictionary in the Available-Dictionary
+// header (RFC 9842). If the relay still has that bundle among its recent ones, it
+// compresses the next bundle with it, so that little more than the changes is
+// sent. A follower that is more than a few bundles behind gets a response
+// compressed without a dictionary.
 
 package peer
 
@@ -22,25 +23,26 @@
 	"pomeloway.example/pomeloway/fleet"
 )
 
-// Content encodings, and the header by which a follower names its dictionary.
+// Content encodings, and the request header that names the follower's dictionary.
 const (
 	encodingWhole    = "zstd"
 	encodingDelta    = "dcz"
 	headerDictionary = "Available-Dictionary"
 )
 
-// deltaMagic begins a dcz body, before the dictionary's SHA-256 (RFC 9842, 5). To
-// zstd both together are a frame to skip.
+// deltaMagic starts a dcz body and is followed by the dictionary's SHA-256
+// (RFC 9842, section 5). A zstd decoder skips both as one skippable frame.
 var deltaMagic = []byte{0x5e, 0x2a, 0x4d, 0x18, 0x20, 0, 0, 0}
 
-// packFrom is the length from which an answer is worth compressing, in bytes.
+// packFrom is the minimum length in bytes of a response that is compressed.
 const packFrom = 1200
 
-// packWindow bounds what a compressor looks back over, and so its memory; a
-// bundle of the largest size that the platform takes fits.
+// packWindow is the zstd window size in bytes, which bounds the memory of an
+// encoder. A bundle of the largest size that the platform accepts fits.
 const packWindow = 2 << 20
 
-// dictionary is a bundle as it stands in an answer.
+// dictionary is a bundle's text, encoded as in a response, that serves as a zstd
+// dictionary.
 type dictionary struct {
 	of      bundle.Digest
 	content []byte
@@ -55,12 +57,13 @@
 	return &dictionary{of: bundle.DigestOf([]byte(text)), content: b, hash: sha256.Sum256(b)}, nil
 }
 
-// name returns the dictionary's name as a structured field (RFC 8941).
+// name returns the dictionary's hash as a structured field value (RFC 8941).
 func (d *dictionary) name() string {
 	return ":" + base64.StdEncoding.EncodeToString(d.hash[:]) + ":"
 }
 
-// ask sets in a request's header what its sender can read; d may be nil.
+// ask sets the request headers that list the encodings the client can decode; d
+// may be nil.
 func (d *dictionary) ask(h http.Header) {
 	if d == nil {
 		h.Set("Accept-Encoding", encodingWhole)
@@ -75,17 +78,17 @@
 	return zstd.NewWriter(nil, o...)
 }
 
-// packer compresses a server's answers. The zero value is ready.
+// packer compresses a server's responses. The zero value is ready to use.
 type packer struct {
 	mu    sync.Mutex
 	whole *zstd.Encoder
-	// delta is the compressor against known, the dictionary last asked for:
-	// followers of one relay mostly have the same.
+	// delta is the encoder for known, the dictionary requested last. One is enough
+	// because most followers of a relay have the same bundle.
 	delta *zstd.Encoder
 	known *dictionary
 }
 
-// write writes the change in the shortest form that the follower reads.
+// write writes the change in the most compact encoding that the follower accepts.
 func (p *packer) write(w http.ResponseWriter, r *http.Request, s *fleet.State, c fleet.Change) {
 	b, err := json.Marshal(c)
 	if err != nil {
@@ -105,8 +108,8 @@
 	w.Write(out)
 }
 
-// pack compresses b as the request's header allows. A compressor that can't be
-// made costs bytes, not the answer.
+// pack compresses b as the request headers allow. If no encoder can be created it
+// falls back to a response that is larger but still valid.
 func (p *packer) pack(b []byte, h http.Header, recent []string) (out []byte, encoding string) {
 	accepts := h.Get("Accept-Encoding")
 	if len(b) < packFrom || !strings.Contains(accepts, encodingWhole) {
@@ -128,8 +131,8 @@
 	return p.whole.EncodeAll(b, nil), encodingWhole
 }
 
-// use makes the named dictionary the known one, if it is a recent bundle; p.mu
-// is held.
+// use selects the named dictionary if it is that of a recent bundle, and reports
+// whether it did. The caller must hold p.mu.
 func (p *packer) use(name string, recent []string) bool {
 	if len(recent) == 0 {
 		return false
@@ -152,8 +155,8 @@
 	return false
 }
 
-// WireSize returns the bytes that a change takes towards a follower that has a
-// bundle of the text, or none if that is empty.
+// WireSize returns the size in bytes of a change as sent to a follower whose
+// current bundle has the text have. An empty text means that it has no bundle.
 func WireSize(c fleet.Change, have string) (int, error) {
 	b, err := json.Marshal(c)
 	if err != nil {
@@ -169,7 +172,8 @@
 	return len(out), nil
 }
 
-// unpack returns the plain form of an answer's body.
+// unpack decompresses a response body. It needs the dictionary d only for a body
+// that was compressed with one.
 func unpack(b []byte, encoding string, d *dictionary) ([]byte, error) {
 	o := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxChange)}
 	switch encoding {
@@ -178,17 +182,17 @@
 	case encodingWhole:
 	case encodingDelta:
 		if d == nil || !bytes.HasPrefix(b, append(deltaMagic[:len(deltaMagic):len(deltaMagic)], d.hash[:]...)) {
-			return nil, eris.New("the answer is compressed against another bundle than this process has")
+			return nil, eris.New("response is compressed with a different dictionary than this process has")
 		}
 		o = append(o, zstd.WithDecoderDictRaw(0, d.content))
 	default:
-		return nil, eris.Errorf("content encoding %q was not asked for", encoding)
+		return nil, eris.Errorf("content encoding %q was not requested", encoding)
 	}
 	z, err := zstd.NewReader(nil, o...)
 	if err != nil {
-		return nil, eris.Wrap(err, "zstd")
+		return nil, eris.Wrap(err, "create zstd decoder")
 	}
 	defer z.Close()
 	out, err := z.DecodeAll(b, nil)
-	return out, eris.Wrap(err, "compressed answer")
+	return out, eris.Wrap(err, "decompress response")
 }
--- a/peer/pack_test.go
+++ b/peer/pack_test.go
@@ -14,7 +14,8 @@
 	"pomeloway.example/pomeloway/keyring"
 )
 
-// services returns a bundle's text; the n-th service has the slots.
+// services returns the text of a bundle with count services. Service n, counted
+// from zero, has the given number of slots, the others have 6.
 func services(count, n, slots int, k keyring.Secret) string {
 	var b strings.Builder
 	b.WriteString("services:\n")
@@ -29,7 +30,7 @@
 	return b.String()
 }
 
-// line is the bundles of a fleet, each the child of the one before.
+// line signs a sequence of bundles, each the child of the previous one.
 type line struct {
 	key    minisign.PrivateKey
 	verify *bundle.Verifier
@@ -57,10 +58,10 @@
 	return &s
 }
 
-// Each of the day's 830 changes goes from a relay to some forty followers. Sent
-// whole they took the relays over what the nodes may spend on control; one that
-// has the bundle before must get little more than what changed, and one that has
-// none, an unknown one or one from long ago must get the whole.
+// A relay sends each of 830 bundle changes a day to about forty followers. If it
+// sent whole bundles, it would exceed the bandwidth allowed for control traffic.
+// A follower with a recent bundle must receive little more than the changes; one
+// with an old or unknown bundle must receive the whole bundle.
 func TestFollowersGetTheDifferenceOfABundle(t *testing.T) {
 	l, k := newLine(t), keyring.NewSecret(1)
 	relay := fleet.NewState(l.verify)
@@ -81,10 +82,10 @@
 		encoding string
 		most     int
 	}{
-		"the one before":     {texts[5], encodingDelta, len(body) / 20},
-		"two before":         {texts[4], encodingDelta, len(body) / 20},
-		"one from long ago":  {texts[0], encodingWhole, len(body) / 5},
-		"one never accepted": {services(200, 9, 99, k), encodingWhole, len(body) / 5},
+		"previous bundle":       {texts[5], encodingDelta, len(body) / 20},
+		"two bundles before":    {texts[4], encodingDelta, len(body) / 20},
+		"too old bundle":        {texts[0], encodingWhole, len(body) / 5},
+		"bundle never accepted": {services(200, 9, 99, k), encodingWhole, len(body) / 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d, err := newDictionary(x.have)
@@ -95,18 +96,19 @@
 			d.ask(h)
 			out, encoding := (&packer{}).pack(body, h, relay.Recent())
 			if encoding != x.encoding || len(out) > x.most {
-				t.Errorf("%d bytes of %d, encoded as %q", len(out), len(body), encoding)
+				t.Errorf("response has %d bytes for a body of %d, encoding %q", len(out), len(body), encoding)
 			}
 			got, err := unpack(out, encoding, d)
 			if err != nil || string(got) != string(body) {
-				t.Errorf("unpacked to %d bytes of %d, %v", len(got), len(body), err)
+				t.Errorf("unpacked to %d bytes, want %d, err %v", len(got), len(body), err)
 			}
 		})
 	}
 }
 
-// A relay answers by the difference to a bundle that the follower does not have,
-// or says so falsely; what came out would be no bundle at all.
+// A faulty relay compresses a response with a dictionary that the follower does
+// not have, or labels it with the wrong encoding. Decompressing it must fail and
+// not return garbage.
 func TestUnpackRefusesAnotherDictionary(t *testing.T) {
 	k := keyring.NewSecret(1)
 	mine, err := newDictionary(services(50, 1, 7, k))
@@ -122,31 +124,32 @@
 	body := []byte(services(50, 3, 7, k))
 	out, encoding := (&packer{}).pack(body, h, []string{services(50, 2, 7, k)})
 	if encoding != encodingDelta {
-		t.Fatalf("encoded as %q", encoding)
+		t.Fatalf("expected the dictionary encoding, got %q", encoding)
 	}
 	for name, x := range map[string]struct {
 		b        []byte
 		encoding string
 		d        *dictionary
 	}{
-		"another's difference":     {out, encodingDelta, mine},
-		"no dictionary":            {out, encodingDelta, nil},
-		"a difference as if whole": {out, encodingWhole, nil},
-		"cut":                      {out[:len(out)-3], encodingDelta, theirs},
-		"unknown encoding":         {out, "br", theirs},
-		"empty":                    {nil, encodingDelta, theirs},
+		"other dictionary":     {out, encodingDelta, mine},
+		"no dictionary":        {out, encodingDelta, nil},
+		"dcz labelled as zstd": {out, encodingWhole, nil},
+		"truncated":            {out[:len(out)-3], encodingDelta, theirs},
+		"unknown encoding":     {out, "br", theirs},
+		"empty":                {nil, encodingDelta, theirs},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, err := unpack(x.b, x.encoding, x.d); err == nil && string(got) == string(body) {
-				t.Error("unpacked without the dictionary")
+				t.Error("invalid response was unpacked")
 			} else if err == nil {
-				t.Errorf("unpacked to %d wrong bytes without an error", len(got))
+				t.Errorf("invalid response was unpacked to %d wrong bytes without an error", len(got))
 			}
 		})
 	}
 }
 
-// FuzzUnpack feeds answers of a broken peer.
+// FuzzUnpack decompresses arbitrary responses, as from a faulty peer. The output
+// must stay within maxChange.
 func FuzzUnpack(f *testing.F) {
 	d, err := newDictionary("services: []\n")
 	if err != nil {
@@ -161,7 +164,7 @@
 			encoding = encodingDelta
 		}
 		if out, err := unpack(b, encoding, d); err == nil && len(out) > maxChange {
-			t.Errorf("%d bytes", len(out))
+			t.Errorf("unpacked to %d bytes, more than the limit", len(out))
 		}
 	})
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -47,9 +47,9 @@
 	return v, s
 }
 
-// A process without a fleet key calls, to announce a member that would draw
-// callers' flows to it. It must not get as far as a request; a process that
-// holds any of the keys in force must.
+// An attacker without a fleet key announces a member in order to attract callers'
+// flows. Its TLS handshake must fail, while a process that holds any of the keys
+// in force must be able to announce a member.
 func TestPeersWithoutAFleetKeyChangeNothing(t *testing.T) {
 	old, next, foreign := keyring.NewSecret(1), keyring.NewSecret(2), keyring.NewSecret(1)
 	v, s := startServer(t, keyring.Ring{next, old})
@@ -67,14 +67,14 @@
 			m := member(fleet.RoleAgent, byte(len(name)), 1, 1)
 			err = c.Announce(t.Context(), v.Addr(), fleet.Change{Members: []fleet.Member{m}})
 			if _, known := s.Member(m.ID); (err == nil) != x.ok || known != x.ok {
-				t.Errorf("err %v, member taken %t", err, known)
+				t.Errorf("err = %v, member accepted: %t", err, known)
 			}
 		})
 	}
 }
 
-// The same, by a stranger who does not care whom it speaks to: only the server's
-// own look at the caller's key is left to stop it.
+// An attacker without a fleet key skips the verification of the server. The
+// server's own check of the client certificate must reject it.
 func TestServerRefusesAStrangerByItself(t *testing.T) {
 	v, s := startServer(t, keyring.Ring{keyring.NewSecret(1)})
 	i, err := NewIdentity(keyring.Ring{keyring.NewSecret(1)})
@@ -89,15 +89,15 @@
 	r, _ := http.NewRequestWithContext(t.Context(), http.MethodPost, "https://"+v.Addr().String()+pathAnnounce, bytes.NewReader(b))
 	if a, err := tr.RoundTrip(r); err == nil {
 		a.Body.Close()
-		t.Errorf("a stranger was answered with %d", a.StatusCode)
+		t.Errorf("unauthenticated client got a response with status %d", a.StatusCode)
 	}
 	if ms, _ := s.Snapshot(); len(ms) != 0 {
-		t.Errorf("a stranger's member was taken: %v", ms)
+		t.Errorf("member of an unauthenticated client was accepted: %v", ms)
 	}
 }
 
-// Operators rotate the fleet's key and retire the old one. A process that went on
-// presenting the key it had started with would be cut off from all its peers.
+// Operators rotate the fleet key and retire the old one. A process that kept
+// presenting the key from its start would be rejected by all peers.
 func TestClientPresentsTheKeyOfTheMoment(t *testing.T) {
 	old, next := keyring.NewSecret(1), keyring.NewSecret(2)
 	i, err := NewIdentity(keyring.Ring{old, next})
@@ -111,7 +111,7 @@
 	}
 	v, _ := startServer(t, keyring.Ring{next})
 	if err := c.Announce(t.Context(), v.Addr(), fleet.Change{}); err != nil {
-		t.Errorf("after the rotation: %v", err)
+		t.Errorf("announce after the key rotation: %v", err)
 	}
 }
 
@@ -134,15 +134,15 @@
 		}
 		got <- x
 	}()
-	for n := byte(0); n < 200; n++ { // enough that the answer is compressed
+	for n := byte(0); n < 200; n++ { // enough for a compressed response
 		s.Merge(fleet.Change{Members: []fleet.Member{member(fleet.RoleAgent, n, 2, 1)}})
 	}
 	if x := <-got; len(x.Members) == 0 || x.Members[0].Zone != 2 {
-		t.Errorf("followed to %d members", len(x.Members))
+		t.Errorf("follow returned %d members, or a member of another zone", len(x.Members))
 	}
 }
 
-// testNode is a node over a platform without a network.
+// testNode returns a node that calls the platform directly, without a network.
 func testNode(p *standin.Platform, self fleet.Member) *Node {
 	c := &platform.Client{URL: "http://platform", HTTP: &http.Client{Transport: standin.Wire{Handler: p}}}
 	return NewNode(fleet.NewState(nil), nil, c, nil, self)
@@ -158,10 +158,9 @@
 	return m, err
 }
 
-// An agent's VM is paused for minutes with a write in hand. Meanwhile it is held
-// for dead and its record removed, or another life begins at its address. When
-// it wakes its write must fail on the object's version, and not put a dead
-// record over a live one.
+// An agent's VM is paused for minutes just before a write. Meanwhile a new
+// incarnation starts at its address. After the pause the conditional write must
+// fail, or an outdated record would replace a live one.
 func TestPausedHolderChangesNothingOfTheNextLife(t *testing.T) {
 	p := &standin.Platform{}
 	old := testNode(p, member(fleet.RoleAgent, 1, 1, 1))
@@ -169,23 +168,23 @@
 		t.Fatal(err)
 	}
 	next := testNode(p, member(fleet.RoleAgent, 1, 1, 2))
-	for next.write(t.Context()) != nil { // finds the old life's object, and replaces it
+	for next.write(t.Context()) != nil { // finds the old incarnation's object and replaces it
 	}
 	old.SetPhase(fleet.PhaseLeaving)
 	if err := old.write(t.Context()); err != nil {
-		t.Errorf("the old life goes on trying: %v", err)
+		t.Errorf("the old incarnation keeps retrying its write: %v", err)
 	}
 	if m, err := stored(t, next); err != nil || m.Incarnation != 2 || m.Phase != fleet.PhaseReady {
-		t.Errorf("the platform holds %+v, %v", m, err)
+		t.Errorf("record stored in the platform: %+v, err %v", m, err)
 	}
 	old.Leave()
 	if _, err := stored(t, next); err != nil {
-		t.Errorf("the old life removed the next one's record: %v", err)
+		t.Errorf("the old incarnation removed the new one's record: %v", err)
 	}
 }
 
-// The same, but the record was removed and no next life has begun: the process
-// that wakes is alive, so its record must come back.
+// A paused process is considered failed and its record is removed, but no new
+// incarnation starts. When the process continues, its record must be restored.
 func TestWrongVerdictIsUndone(t *testing.T) {
 	p := &standin.Platform{}
 	n := testNode(p, member(fleet.RoleAgent, 1, 1, 1))
@@ -198,18 +197,18 @@
 	}
 	x, err := n.Platform.Watch(t.Context(), platform.KindMember, o.Meta.Revision, 0)
 	if err != nil || len(x.Events) != 1 || !x.Events[0].Removed {
-		t.Fatalf("watched %+v, %v", x, err)
+		t.Fatalf("watch returned %+v, err %v", x, err)
 	}
-	n.takeEvents(platform.KindMember, x.Events) // the node hears that it is gone
+	n.takeEvents(platform.KindMember, x.Events) // the node receives its own removal
 	for n.write(t.Context()) != nil {
 	}
 	if m, err := stored(t, n); err != nil || m.Phase != fleet.PhaseReady || !m.Newer(&fleet.Member{Incarnation: 1}) {
-		t.Errorf("the platform holds %+v, %v", m, err)
+		t.Errorf("record stored in the platform: %+v, err %v", m, err)
 	}
 }
 
-// The answer to a write is lost after it took effect. Writing again without a
-// look would fail on its own first write for good.
+// The response to a write is lost after the write took effect. Retrying with the
+// old condition, without reading the object back, would always fail.
 func TestLostAnswerOfAWriteIsReadBack(t *testing.T) {
 	p := &standin.Platform{}
 	n := testNode(p, member(fleet.RoleAgent, 1, 1, 1))
@@ -222,13 +221,12 @@
 		t.Fatal(err)
 	}
 	if m, err := stored(t, n); err != nil || m.Phase != fleet.PhaseLeaving {
-		t.Errorf("the platform holds %+v, %v", m, err)
+		t.Errorf("record stored in the platform: %+v, err %v", m, err)
 	}
 }
 
-// The platform is down for an hour, and a fleet's processes go on asking. Their
-// calls must stay few, and come spread, or the platform would meet a storm the
-// moment it is back.
+// The platform is down for an hour and the processes keep retrying. Without backoff
+// and jitter their calls would overload the platform as soon as it recovers.
 func TestAnHourOfOutageCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &standin.Platform{}
@@ -249,15 +247,15 @@
 		time.Sleep(time.Hour)
 		c := p.Counts()
 		if rate := float64(c.Reads+c.Writes) / 3600; rate > 0.5 {
-			t.Errorf("%.2f calls a second while the platform is down", rate)
+			t.Errorf("%.2f calls per second during the outage", rate)
 		}
 		p.Set(standin.Faults{})
 		time.Sleep(time.Minute)
 		if _, err := stored(t, n); err != nil {
-			t.Errorf("a minute after the outage the record is not there: %v", err)
+			t.Errorf("record not stored a minute after the outage: %v", err)
 		}
 		if n.PlatformDown() {
-			t.Error("the node still holds the platform for down")
+			t.Error("node still reports the platform as down")
 		}
 		stop()
 		<-done
@@ -292,11 +290,11 @@
 					found++
 				}
 				if len(peers) == 0 || !relay && peers[0].Addr().As4()[2] != byte(m.Zone) {
-					t.Errorf("%s follows %v first", m.ID, peers)
+					t.Errorf("%s has the sources %v, want a relay of its own zone first", m.ID, peers)
 				}
 			}
 			if found != 4*x.want {
-				t.Errorf("%d relays in 4 zones", found)
+				t.Errorf("wrong number of relays in 4 zones: %d", found)
 			}
 		})
 	}
@@ -314,12 +312,12 @@
 		call func() error
 		want error
 	}{
-		"create again":  {standin.Faults{}, func() error { _, err := c.Create(t.Context(), "k", "n", 2); return err }, platform.ErrConflict},
-		"stale update":  {standin.Faults{}, func() error { _, err := c.Update(t.Context(), "k", "n", 2, o.Meta.Revision+9); return err }, platform.ErrConflict},
-		"not there":     {standin.Faults{}, func() error { _, err := c.Get(t.Context(), "k", "x"); return err }, platform.ErrNotFound},
-		"outage":        {standin.Faults{Outage: true}, func() error { _, err := c.Get(t.Context(), "k", "n"); return err }, platform.ErrDown},
-		"answer lost":   {standin.Faults{LoseAnswers: 1}, func() error { _, err := c.Create(t.Context(), "k", "m", 2); return err }, platform.ErrUnknown},
-		"value too big": {standin.Faults{}, func() error { _, err := c.Create(t.Context(), "k", "b", make([]byte, platform.MaxValue)); return err }, platform.ErrInvalid},
+		"object exists":         {standin.Faults{}, func() error { _, err := c.Create(t.Context(), "k", "n", 2); return err }, platform.ErrConflict},
+		"outdated revision":     {standin.Faults{}, func() error { _, err := c.Update(t.Context(), "k", "n", 2, o.Meta.Revision+9); return err }, platform.ErrConflict},
+		"object does not exist": {standin.Faults{}, func() error { _, err := c.Get(t.Context(), "k", "x"); return err }, platform.ErrNotFound},
+		"outage":                {standin.Faults{Outage: true}, func() error { _, err := c.Get(t.Context(), "k", "n"); return err }, platform.ErrDown},
+		"response lost":         {standin.Faults{LoseAnswers: 1}, func() error { _, err := c.Create(t.Context(), "k", "m", 2); return err }, platform.ErrUnknown},
+		"value too large":       {standin.Faults{}, func() error { _, err := c.Create(t.Context(), "k", "b", make([]byte, platform.MaxValue)); return err }, platform.ErrInvalid},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p.Set(x.f)
--- a/peer/platform.go
+++ b/peer/platform.go
@@ -15,8 +15,8 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// watch reads the objects of a kind from the platform: all the time as a relay,
-// else while no peer is known or no bundle was heard of.
+// watch reads the objects of a kind from the platform. A relay does so all the
+// time, other processes only while they know no peer or have no bundle.
 func (n *Node) watch(ctx context.Context, k platform.Kind) {
 	b := newBackoff()
 	var at platform.Revision
@@ -41,7 +41,7 @@
 		}
 		b.Reset()
 		if x.At < at {
-			at = 0 // the store was restored from an older copy: read it all
+			at = 0 // the store was restored from an older backup: list everything
 			continue
 		}
 		if n.Lag != nil && !clock.Sleep(ctx, n.Lag()) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// read returns what changed after the revision, from revision zero everything.
+// read returns the changes after the revision, or all objects for revision zero.
 func (n *Node) read(ctx context.Context, k platform.Kind, at platform.Revision) (platform.Changes, error) {
 	if at != 0 {
 		return n.Platform.Watch(ctx, k, at, watchWait)
@@ -118,7 +118,8 @@
 	n.take(c, "platform")
 }
 
-// publish writes the node's own record when it changes and every renewEvery.
+// publish announces the node's own record and writes it to the platform, when it
+// changes and about every renewEvery.
 func (n *Node) publish(ctx context.Context) {
 	b := newBackoff()
 	for ctx.Err() == nil {
@@ -139,8 +140,8 @@
 	}
 }
 
-// tellMost is how many peers a node tells of its own change directly, so that
-// it is known while the platform is down.
+// tellMost is the number of peers that a node announces its own record to, so that
+// changes also spread while the platform is down.
 const tellMost = 2
 
 func (n *Node) tell(ctx context.Context) {
@@ -152,13 +153,13 @@
 	}
 }
 
-// write puts the record into the platform on the condition that the object is
-// as this life last saw it.
+// write stores the node's record in the platform, on the condition that the
+// object is unchanged since this incarnation last wrote or read it.
 //
-// A holder that was paused past the removal of its object, or past the start of
-// the next life at its address, would write a dead record over a live one; it
-// shows as a failed condition, after which the object is read and only replaced
-// if it is of an older life.
+// Without the condition, a process that was paused until its object was removed,
+// or until a new incarnation started at its address, could overwrite a live
+// record with its outdated one. When the condition fails, the object is read and
+// replaced only if it does not belong to a newer incarnation.
 func (n *Node) write(ctx context.Context) error {
 	n.mu.Lock()
 	m, at := n.self, n.written
@@ -190,7 +191,8 @@
 	n.written = r
 }
 
-// resolve reads back what the platform holds after a conflict or a lost answer.
+// resolve reads the object back after a conflict or a lost response, and returns
+// errRetry if the record has to be written again.
 func (n *Node) resolve(ctx context.Context, m fleet.Member) error {
 	o, err := n.Platform.Get(ctx, platform.KindMember, string(m.ID))
 	if errors.Is(err, platform.ErrNotFound) {
@@ -202,7 +204,7 @@
 	}
 	var held fleet.Member
 	if err := json.Unmarshal(o.Spec, &held); err == nil && held.Incarnation > m.Incarnation {
-		return nil // the next life at this address owns the object
+		return nil // a newer incarnation at this address owns the object
 	}
 	n.setWritten(o.Meta.Revision)
 	if held == m {
@@ -211,10 +213,11 @@
 	return errRetry
 }
 
-var errRetry = errors.New("object changed while it was written; trying again")
+var errRetry = errors.New("platform object changed during the write; retrying")
 
-// reap removes the objects of members that stayed doubted. The conditional
-// delete is the guard: a member that wrote in between has changed its object.
+// reap removes the objects of members that have been doubted for reapAfter; since
+// holds when each doubt was first seen. The delete is conditional, so it fails if
+// the member has written its object in the meantime.
 func (n *Node) reap(ctx context.Context, since map[fleet.MemberID]time.Time) {
 	doubts := n.State.Doubted()
 	for id := range since {
--- a/peer/server.go
+++ b/peer/server.go
@@ -21,37 +21,40 @@
 const (
 	pathFleet    = "/fleet"
 	pathAnnounce = "/announce"
-	// maxFollow is the longest that a follower may wait for a change.
+	// maxFollow bounds how long a follow request may wait for a change.
 	maxFollow = 30 * time.Second
-	// settle gathers changes that come close together into one answer.
+	// settle is how long a response is delayed to include further changes that
+	// arrive shortly after the first.
 	settle = 50 * time.Millisecond
-	// maxAnnounce bounds what a peer may announce at once, in bytes.
+	// maxAnnounce bounds the size of one announcement, in bytes.
 	maxAnnounce = 4 << 20
-	// callIdle finds a sibling that died with requests under way.
+	// callIdle is the idle timeout that detects the failure of a peer with
+	// requests in progress. callAlive is the keep-alive interval.
 	callIdle  = 6 * time.Second
 	callAlive = 2 * time.Second
-	// followIdle finds a relay that died; until then its followers hear nothing
-	// new. A relay of a large fleet has some hundred followers, and keeping them
-	// all alive every 2 s would take most of its control traffic.
+	// followIdle is the idle timeout that detects the failure of a relay; until
+	// then its followers receive no changes. followAlive is longer than callAlive
+	// because a relay of a large fleet has some hundred followers, and keep-alives
+	// to all of them every 2 s would be most of its control traffic.
 	followIdle    = 15 * time.Second
 	followAlive   = 5 * time.Second
 	peerHandshake = time.Second
 	peerStreams   = 4096
 )
 
-// Server serves peers.
+// Server serves requests from peers.
 type Server struct {
 	state *fleet.State
 	conn  *net.UDPConn
 	tr    *quic.Transport
 	h3    *http3.Server
 	pack  packer
-	// Followed counts the answers given to followers.
+	// Followed counts the responses sent to followers.
 	Followed atomic.Uint64
 }
 
-// NewServer listens for peers on the address. Other paths than the fleet's go
-// to next, which may be nil.
+// NewServer listens for peers on the address. Paths that this package does not
+// serve are passed to next, which may be nil.
 func NewServer(a netip.AddrPort, i *Identity, s *fleet.State, next http.Handler) (*Server, error) {
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(a))
 	if err != nil {
@@ -68,16 +71,16 @@
 	return v, nil
 }
 
-// Addr returns the address that peers reach the server at.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() netip.AddrPort { return s.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// serverConfig leaves keeping a connection alive to the client, which knows what
-// it needs.
+// serverConfig sets no keep-alive: the client sends keep-alives, because it knows
+// how quickly each of its connections has to detect a failure.
 func serverConfig() *quic.Config {
 	return &quic.Config{HandshakeIdleTimeout: peerHandshake, MaxIdleTimeout: followIdle, MaxIncomingStreams: peerStreams}
 }
 
-// Run serves until Close.
+// Run serves requests until Close is called.
 func (s *Server) Run() error {
 	l, err := s.tr.ListenEarly(s.h3.TLSConfig, serverConfig())
 	if err != nil {
@@ -91,14 +94,15 @@
 	return err
 }
 
-// Close stops the server at once.
+// Close stops the server immediately, without waiting for open requests.
 func (s *Server) Close() {
 	s.h3.Close()
 	s.tr.Close()
 	s.conn.Close()
 }
 
-// serveFleet answers a follower when there is something new to it.
+// serveFleet responds to a follower as soon as there are changes that it does not
+// have, or when its wait ends.
 func (s *Server) serveFleet(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	epoch, _ := strconv.ParseUint(q.Get("epoch"), 10, 64)
