--- a/events/events.go
+++ b/events/events.go
@@ -1,15 +1,16 @@
-// Package events is the catalogue of everything that pomeloway logs: numbered
-// events with their level, and the ring that carries the decisions of the hot
-// path to the log. docs/EVENTS.md explains each to operators.
+// Package events defines and logs the events of pomeloway. Each has a number, a
+// message and a level, listed in Catalogue and explained to operators in
+// docs/EVENTS.md. Routing decisions of the hot path are queued and logged
+// asynchronously.
 package events
 
 import "log/slog"
 
-// ID is the number of an event; it never changes its meaning.
+// ID is the number of an event. The meaning of a number never changes.
 type ID int
 
-// Events. The first digit tells the part: 1 flows, 2 requests, 3 members,
-// 4 bundles and zones, 5 links and platform, 6 programs.
+// Event numbers. The first digit gives the area: 1 flows, 2 requests, 3 members,
+// 4 bundles and availability zones, 5 links and platform, 6 programs.
 const (
 	FlowOpened      ID = 1001
 	FlowPassed      ID = 1002
@@ -72,14 +73,14 @@
 	SettingsRefused      ID = 6005
 )
 
-// Entry is one line of the catalogue.
+// Entry describes one event: its number, the message that is logged, and its level.
 type Entry struct {
 	ID    ID
 	Name  string
 	Level slog.Level
 }
 
-// Catalogue lists every event.
+// Catalogue lists all events. A test compares it with docs/EVENTS.md.
 var Catalogue = []Entry{
 	{FlowOpened, "flow opened", slog.LevelInfo},
 	{FlowPassed, "opening passed on", slog.LevelInfo},
@@ -151,7 +152,7 @@
 	return m
 }
 
-// Lookup returns the catalogue's entry of the event.
+// Lookup returns the catalogue entry of the event, and whether there is one.
 func Lookup(id ID) (Entry, bool) {
 	e, ok := byID[id]
 	return e, ok
--- a/events/events_test.go
+++ b/events/events_test.go
@@ -34,17 +34,18 @@
 	}
 	for k := range code {
 		if !page[k] {
-			t.Errorf("not on docs/EVENTS.md: %s", k)
+			t.Errorf("in the catalogue but not in docs/EVENTS.md: %s", k)
 		}
 	}
 	for k := range page {
 		if !code[k] {
-			t.Errorf("not in the catalogue: %s", k)
+			t.Errorf("in docs/EVENTS.md but not in the catalogue: %s", k)
 		}
 	}
 }
 
-// used returns the names of this package's events that the other packages use.
+// used returns the identifiers of this package that non-test code of other
+// packages uses.
 func used(t *testing.T) map[string]bool {
 	names := map[string]bool{}
 	err := filepath.WalkDir("..", func(p string, d fs.DirEntry, err error) error {
@@ -77,18 +78,18 @@
 		t.Fatal(err)
 	}
 	in := used(t)
-	in["DecisionsLost"] = true // this package's own
+	in["DecisionsLost"] = true // logged by this package itself
 	ast.Inspect(f, func(n ast.Node) bool {
 		v, ok := n.(*ast.ValueSpec)
 		if ok && v.Type != nil && fmt.Sprint(v.Type) == "ID" && !in[v.Names[0].Name] {
-			t.Errorf("%s is on the page, but nothing logs it", v.Names[0].Name)
+			t.Errorf("event %s is never logged", v.Names[0].Name)
 		}
 		return true
 	})
 }
 
-// The log's reader stands still while a balancer takes a storm of openings. The
-// hot path must not wait for it; what is lost must be told.
+// Run falls behind while a balancer handles a burst of openings. The hot path
+// must not block on the full queue, and the dropped decisions must be counted.
 func TestFullRingLosesAndCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b bytes.Buffer
@@ -97,13 +98,13 @@
 			l.Decide(Decision{ID: FlowOpened, Reason: ReasonFirst})
 		}
 		if l.Lost() != 5 {
-			t.Errorf("lost %d", l.Lost())
+			t.Errorf("%d decisions lost, want 5", l.Lost())
 		}
 		ctx, stop := context.WithCancel(t.Context())
 		stop()
 		l.Run(ctx)
 		if n := strings.Count(b.String(), "event=1001"); n != ringSize {
-			t.Errorf("%d lines were written", n)
+			t.Errorf("%d lines written, want one per queued decision", n)
 		}
 	})
 }
@@ -111,6 +112,6 @@
 func TestDecideAllocatesNothing(t *testing.T) {
 	l := NewLog(slog.New(slog.DiscardHandler))
 	if n := testing.AllocsPerRun(1000, func() { l.Decide(Decision{ID: FlowOpened}) }); n > 0 {
-		t.Errorf("%v allocations a decision", n)
+		t.Errorf("%v allocations per decision, want none", n)
 	}
 }
--- a/events/log.go
+++ b/events/log.go
@@ -10,23 +10,24 @@
 	"pomeloway.example/pomeloway/bundle"
 )
 
-// Log writes numbered events. Its zero value writes nothing.
+// Log writes events to a slog.Logger. A nil Log and the zero value discard them.
 type Log struct {
 	l    *slog.Logger
 	ring chan Decision
 	lost atomic.Uint64
 }
 
-// ringSize bounds the decisions that wait to be written: about half a second of
-// openings of a large balancer. A full ring loses the newest and counts it.
+// ringSize is the maximum number of queued decisions, about half a second of
+// openings on a large balancer. If the queue is full, new decisions are dropped
+// and counted.
 const ringSize = 16_384
 
-// NewLog returns a Log over the slog logger.
+// NewLog returns a Log that writes to l.
 func NewLog(l *slog.Logger) *Log {
 	return &Log{l: l, ring: make(chan Decision, ringSize)}
 }
 
-// Add writes an event at its level.
+// Add logs an event at once, with the message and level of its catalogue entry.
 func (l *Log) Add(id ID, attrs ...slog.Attr) {
 	if l == nil || l.l == nil {
 		return
@@ -39,7 +40,7 @@
 	l.l.LogAttrs(context.Background(), e.Level, e.Name, a...)
 }
 
-// Reason is why a decision fell the way it did.
+// Reason explains the outcome of a routing decision.
 type Reason string
 
 // Reasons of flow decisions.
@@ -59,7 +60,8 @@
 	ReasonNoCandidate Reason = "noCandidate"
 )
 
-// Decision is one routing decision of the hot path, of fixed size.
+// Decision is a routing decision of the hot path to be logged. It is a plain value,
+// so that logging one allocates nothing.
 type Decision struct {
 	ID      ID
 	Reason  Reason
@@ -69,7 +71,7 @@
 	Target  netip.AddrPort
 	Flow    uint64
 
-	// Address and the fields below are those of datagram services.
+	// Address and the fields below are set only for datagram services.
 	Address netip.AddrPort
 	Hop     int
 	Class   int
@@ -78,7 +80,8 @@
 	Request string
 }
 
-// Decide hands a decision to the writer and never waits.
+// Decide queues a decision for Run to log. It never blocks: if the queue is full,
+// the decision is dropped and counted.
 func (l *Log) Decide(d Decision) {
 	if l == nil || l.l == nil {
 		return
@@ -90,7 +93,7 @@
 	}
 }
 
-// Lost returns how many decisions a full ring has lost.
+// Lost returns how many decisions were dropped because the queue was full.
 func (l *Log) Lost() uint64 {
 	if l == nil {
 		return 0
@@ -98,10 +101,10 @@
 	return l.lost.Load()
 }
 
-// lossInterval is how often losses are reported.
+// lossInterval is the interval at which dropped decisions are reported.
 const lossInterval = 10 * time.Second
 
-// Run writes decisions until the context ends, then those still in the ring.
+// Run logs queued decisions until the context ends, then those still in the queue.
 func (l *Log) Run(ctx context.Context) error {
 	t := time.NewTicker(lossInterval)
 	defer t.Stop()
