--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,4 +1,4 @@
-// Package explain joins the logs of many processes into the story of one flow or
+// Package explain merges the logs of many processes into a trace of one flow or
 // request, for on-call engineers.
 package explain
 
@@ -17,7 +17,7 @@
 	"pomeloway.example/pomeloway/events"
 )
 
-// Line is one line of a process's log.
+// Line is one event in a process's log.
 type Line struct {
 	Time    time.Time `json:"time"`
 	Event   events.ID `json:"event"`
@@ -27,14 +27,14 @@
 	Address string    `json:"address"`
 	Request string    `json:"request"`
 
-	fields map[string]any
+	fields map[string]any // all fields of the JSON line, including those above
 }
 
-// maxLine bounds one line of a log.
+// maxLine bounds the length of a log line, in bytes.
 const maxLine = 1 << 20
 
-// Read reads the lines of a log. What stands before a line's JSON, such as the
-// stamp of a collector, and lines that are no JSON are passed over.
+// Read parses the events in a log. It skips any text before the JSON object of a
+// line, such as a log collector's prefix, and lines without a valid event.
 func Read(r io.Reader) ([]Line, error) {
 	var ls []Line
 	s := bufio.NewScanner(r)
@@ -50,7 +50,7 @@
 			continue
 		}
 		d := json.NewDecoder(bytes.NewReader(b[i:]))
-		d.UseNumber() // a life has more digits than a float holds
+		d.UseNumber() // a float64 would round the 64-bit numbers of incarnations ("life")
 		if d.Decode(&l.fields) != nil {
 			continue
 		}
@@ -59,9 +59,10 @@
 	return ls, eris.Wrap(s.Err(), "log")
 }
 
-// Story returns the lines that tell of the request's id, or of the caller's
-// address and port, in order of time: those of its flows, and what the processes
-// on its way came to believe while it lasted.
+// Story returns the lines about a request, given by its id, or about a caller,
+// given by its address and port, ordered by time. Besides the lines of the
+// caller's flows these are all lines without a caller, such as state changes of
+// agents, that the processes involved logged at about the same time.
 func Story(ls []Line, what string) []Line {
 	callers := map[string]bool{}
 	for _, l := range ls {
@@ -92,14 +93,17 @@
 	return own
 }
 
-// around is how long before and after a flow's lines a process's beliefs matter:
-// the longest bound of the users' rules on them is some seconds.
+// around is how long before the first and after the last line of a flow other
+// lines of the same processes are included. The requirements limit how long a
+// process may act on outdated state to a few seconds.
 const around = 2 * time.Second
 
-// shown are fields that a line's beginning shows already, or all lines share.
+// shown are the fields that String does not repeat as key=value: they are at the
+// start of the line, or the same in all lines.
 var shown = []string{"time", "level", "msg", "event", "node"}
 
-// String returns the line for people.
+// String formats the line for display: time, node, event number and message, then
+// the other fields sorted by key.
 func (l Line) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s  %-24s %d %s", l.Time.Format("15:04:05.000000"), l.Node, l.Event, l.Message)
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -15,15 +15,15 @@
 {"broken":
 `
 
-// A buyer's order took long. On-call has its id, and logs of a dozen processes in
-// one stream.
+// An engineer looks up a slow request by its id in the interleaved logs of many
+// processes. The result must include the related events and no others.
 func TestStoryOfARequest(t *testing.T) {
 	ls, err := Read(strings.NewReader(recorded))
 	if err != nil || len(ls) != 6 {
-		t.Fatalf("%d lines, %v", len(ls), err)
+		t.Fatalf("read %d lines, err %v", len(ls), err)
 	}
 	if s := ls[3].String(); !strings.Contains(s, "life=8577596922004601999") {
-		t.Errorf("the life is not as it was logged: %s", s)
+		t.Errorf("the field life was not kept exactly: %s", s)
 	}
 	for name, x := range map[string]struct {
 		what string
@@ -37,7 +37,7 @@
 		t.Run(name, func(t *testing.T) {
 			got := Story(ls, x.what)
 			if len(got) != len(x.want) {
-				t.Fatalf("%d lines: %v", len(got), got)
+				t.Fatalf("got %d lines: %v", len(got), got)
 			}
 			for i := range got {
 				n, e, _ := strings.Cut(x.want[i], " ")
