--- a/process/process.go
+++ b/process/process.go
@@ -1,5 +1,6 @@
-// Package process is what every long-running program of pomeloway shares: its
-// settings, its view of the fleet, its server for peers and its operator page.
+// Package process implements what balancers and agents have in common: settings,
+// the view of the fleet, the server for peers, metrics and the HTTP endpoints for
+// operators.
 package process
 
 import (
@@ -28,7 +29,7 @@
 	"pomeloway.example/pomeloway/settings"
 )
 
-// Options are the settings that balancers and agents share.
+// Options are the command-line settings that balancers and agents share.
 type Options struct {
 	Zone     bundle.ZoneID    `help:"Number of the availability zone that this VM stands in." required:"" env:"POMELOWAY_ZONE" group:"Place"`
 	Link     netip.AddrPort   `help:"Address for datagrams between balancers and agents." required:"" env:"POMELOWAY_LINK" placeholder:"IP:PORT" group:"Addresses"`
@@ -41,7 +42,7 @@
 	Trust    []string         `help:"Operators' public keys that sign bundles." required:"" env:"POMELOWAY_TRUST" group:"Keys"`
 }
 
-// Validate returns all that is wrong with the settings, each with its flag.
+// Validate returns an error that lists all invalid settings, each with its flag.
 func (o *Options) Validate() error {
 	var f settings.Faults
 	f.Want(o.Zone != 0, "--zone", "must be 1 to 255")
@@ -58,7 +59,7 @@
 	return f.All()
 }
 
-// Process is the running base of a program.
+// Process holds the components that every program runs.
 type Process struct {
 	State *fleet.State
 	Node  *peer.Node
@@ -78,7 +79,8 @@
 	state func() any
 }
 
-// New prepares a process; next serves peers' calls beyond the fleet's own.
+// New opens the listeners of a process and joins its components; AddTo runs them.
+// next serves the peers' requests that package peer does not handle.
 func New(o Options, role fleet.Role, service bundle.ServiceID, l *slog.Logger, next http.Handler) (*Process, error) {
 	ring, err := keyring.Parse(o.Keys)
 	if err != nil {
@@ -111,26 +113,28 @@
 	return p, nil
 }
 
-// Ring returns the secrets that fit the bundle in force.
+// Ring returns those of the process's secrets that bundle a lists.
 func (p *Process) Ring(a *bundle.Accepted) (keyring.Ring, error) { return p.ring.Select(a.Bundle) }
 
-// Keys returns every secret that the process was given.
+// Keys returns all secrets that the process was configured with.
 func (p *Process) Keys() keyring.Ring { return p.ring }
 
-// Rekey makes the peers' identity follow the bundle's keys.
+// Rekey replaces the keys that authenticate connections between peers.
 func (p *Process) Rekey(r keyring.Ring) error { return p.identity.Set(r) }
 
-// SetReady says whether callers' datagrams should come here.
+// SetReady sets whether this process should receive callers' datagrams, as
+// reported by /readyz.
 func (p *Process) SetReady(v bool) { p.ready.Store(v) }
 
-// SetState gives the function that makes the program's part of /state.
+// SetState sets the function that returns the program's part of /state and of the
+// metrics.
 func (p *Process) SetState(f func() any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state = f
 }
 
-// AddTo adds the process's duties to the group.
+// AddTo adds the process's background tasks and servers to the group.
 func (p *Process) AddTo(g *run.Group) {
 	ctx, stop := context.WithCancel(context.Background())
 	g.Add(func() error { return p.Log.Run(ctx) }, func(error) { stop() })
@@ -143,8 +147,8 @@
 	g.Add(func() error { return ignoreClosed(s.Serve(p.operator)) }, func(error) { s.Close(); p.metrics.Close() })
 }
 
-// publishMetrics copies the program's counters to the metrics every second, so
-// that the hot path never touches a shared metric.
+// publishMetrics copies the program's counters to the metrics every
+// metrics.Interval, so that the hot path never updates a shared metric.
 func (p *Process) publishMetrics(ctx context.Context) error {
 	t := time.NewTicker(metrics.Interval)
 	defer t.Stop()
@@ -199,7 +203,7 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// Version is the short answer of /version, which `pomeloway status` asks for.
+// Version is the JSON body of /version, which `pomeloway status` requests.
 type Version struct {
 	ID           fleet.MemberID `json:"id"`
 	Ready        bool           `json:"ready"`
@@ -208,7 +212,7 @@
 	PlatformDown bool           `json:"platformDown"`
 }
 
-// Version returns which bundle is in force here.
+// Version returns the bundle in force in this process, and whether it is ready.
 func (p *Process) Version() Version {
 	v := Version{ID: p.Node.Self().ID, Ready: p.ready.Load(), PlatformDown: p.Node.PlatformDown()}
 	if a := p.State.Accepted(); a != nil {
@@ -217,7 +221,7 @@
 	return v
 }
 
-// Status is the JSON view of a process. It holds no secret.
+// Status is the JSON body of /state. It contains no secrets.
 type Status struct {
 	Self          fleet.Member    `json:"self"`
 	Ready         bool            `json:"ready"`
@@ -230,7 +234,7 @@
 	Program       any             `json:"program,omitempty"`
 }
 
-// Status returns the present view.
+// Status returns the current status of the process.
 func (p *Process) Status() Status {
 	v := p.Version()
 	s := Status{
@@ -247,5 +251,6 @@
 	return s
 }
 
-// Followed returns how many answers peers that follow this process were given.
+// Followed returns the number of responses sent to the peers that follow this
+// process.
 func (p *Process) Followed() uint64 { return p.server.Followed.Load() }
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -45,28 +45,28 @@
 		}{7, true, map[string]int{"slots": 5}}
 	})
 	if c := page(p, "/readyz").Code; c != http.StatusServiceUnavailable {
-		t.Errorf("readiness before the first bundle: %d", c)
+		t.Errorf("/readyz before SetReady: status %d", c)
 	}
 	p.SetReady(true)
 	if c := page(p, "/readyz").Code; c != http.StatusOK {
-		t.Errorf("readiness: %d", c)
+		t.Errorf("/readyz after SetReady: status %d", c)
 	}
 	var s Status
 	if err := json.NewDecoder(page(p, "/state").Body).Decode(&s); err != nil || len(s.Members) != 1 || !s.Ready {
-		t.Errorf("state %+v, %v", s, err)
+		t.Errorf("/state returned %+v, err %v", s, err)
 	}
 	p.setGauges()
-	p.metrics.Close() // hands the gauges to the reporter
+	p.metrics.Close() // flushes the gauges to the reporter
 	m := page(p, "/metrics").Body.String()
 	for _, want := range []string{"pomeloway_ready 1", "pomeloway_balancer_forwarded 7", "pomeloway_balancer_leaving 1", "pomeloway_balancer_load_slots 5"} {
 		if !strings.Contains(m, want) {
-			t.Errorf("metrics lack %q:\n%s", want, m)
+			t.Errorf("metrics do not contain %q:\n%s", want, m)
 		}
 	}
 }
 
-// An operator pastes a process's state or log into a ticket. Whoever reads it
-// must not be able to forge the fleet's datagrams afterwards.
+// An operator pastes a process's state, metrics or log into a ticket. If they
+// contained a fleet key, any reader could forge the fleet's datagrams.
 func TestSecretsAreNeverShown(t *testing.T) {
 	var log strings.Builder
 	p, k := newProcess(t, &log)
@@ -78,10 +78,10 @@
 		"metrics": page(p, "/metrics").Body.String(), "log": log.String(), "error": err.Error(),
 	} {
 		if strings.Contains(text, secret) || strings.Contains(text, "platform-token") {
-			t.Errorf("the %s shows a secret: %s", name, text)
+			t.Errorf("%s contains a secret: %s", name, text)
 		}
 	}
 	if !strings.Contains(log.String(), k.Fingerprint()) {
-		t.Errorf("the log does not name the key by its fingerprint: %s", log.String())
+		t.Errorf("the log does not identify the key by its fingerprint: %s", log.String())
 	}
 }
