--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics serves a program's counters and histograms to Prometheus.
+// Package metrics exports a program's metrics to Prometheus.
 package metrics
 
 import (
@@ -12,11 +12,12 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// Interval is how often a program copies its counters, and how often they reach
-// the reporter: the hot path never touches a shared metric.
+// Interval is how often a program copies its counters to the metrics, and how
+// often these are passed to the reporter. Copying them periodically keeps the hot
+// path from updating shared metrics.
 const Interval = time.Second
 
-// Metrics is one program's registry. Close ends its reporting.
+// Metrics is the metrics registry of one program.
 type Metrics struct {
 	Scope tally.Scope
 
@@ -24,8 +25,8 @@
 	closer   io.Closer
 }
 
-// New returns a registry of its own, so that several programs of a trial can
-// share a process.
+// New returns an independent registry, because tests run several programs in one
+// operating system process.
 func New() *Metrics {
 	reg := client.NewRegistry()
 	m := &Metrics{reporter: prometheus.NewReporter(prometheus.Options{Registerer: reg, Gatherer: reg})}
@@ -36,13 +37,14 @@
 	return m
 }
 
-// Handler serves the metrics as text.
+// Handler returns a handler that serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// Close ends the reporting.
+// Close passes the last values to the reporter and stops reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
-// Gauges sets a gauge for each number in the JSON form of v.
+// Gauges sets a gauge for each number and boolean in the JSON encoding of v. Nested
+// objects become subscopes.
 func Gauges(s tally.Scope, v any) {
 	var m map[string]any
 	b, err := json.Marshal(v)
@@ -61,7 +63,7 @@
 	}
 }
 
-// Number is 1 for true.
+// Number returns 1 for true and 0 for false.
 func Number(b bool) float64 {
 	if b {
 		return 1
