--- a/operator/accept.go
+++ b/operator/accept.go
@@ -1,5 +1,6 @@
-// Package operator is what operators do to a fleet: accept bundles, take
-// availability zones out and back, and watch a version come into force.
+// Package operator implements the operators' commands: putting bundles into force,
+// taking availability zones out and back in, and checking which version each
+// process has in force.
 package operator
 
 import (
@@ -16,29 +17,31 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// currentName is the object that holds the accepted bundle.
+// currentName is the platform object that holds the bundle in force.
 const currentName = "current"
 
 // Errors of Accept.
 var (
-	// ErrNotAccepted: the bundle certainly did not come into force.
+	// ErrNotAccepted means that the bundle has certainly not come into force.
 	ErrNotAccepted = errors.New("not accepted")
-	// ErrUnknown: the platform's answers were lost; the bundle may be in force.
+	// ErrUnknown means that the platform's responses were lost, so that the bundle
+	// may or may not be in force.
 	ErrUnknown = errors.New("not known whether accepted")
 )
 
-// Conflict tells that another bundle took the place.
+// Conflict is the error of Accept for a bundle whose parent is not the one in
+// force. Current is the conflicting bundle, nil if none was ever accepted.
 type Conflict struct {
 	Current *bundle.Accepted
 	Mine    bundle.Stamp
 }
 
-// Error says whose bundle is in force.
+// Error names the bundle in force and its author, and the rejected bundle.
 func (c *Conflict) Error() string {
 	if c.Current == nil {
-		return fmt.Sprintf("%v: version %d wants a parent, but no bundle is accepted yet", ErrNotAccepted, c.Mine.Version)
+		return fmt.Sprintf("%v: version %d needs a parent bundle, but no bundle has been accepted yet", ErrNotAccepted, c.Mine.Version)
 	}
-	return fmt.Sprintf("%v: version %d by %s is in force (digest %.12s); yours is version %d on parent %.12s",
+	return fmt.Sprintf("%v: version %d by %s is in force (digest %.12s); yours is version %d with parent %.12s",
 		ErrNotAccepted, c.Current.Version, orNobody(c.Current.Author), c.Current.Digest, c.Mine.Version, c.Mine.Parent)
 }
 
@@ -52,7 +55,7 @@
 	return s
 }
 
-// Store is the platform as operators use it.
+// Store is the part of the platform's API that this package uses.
 type Store interface {
 	Get(ctx context.Context, k platform.Kind, name string) (platform.Object, error)
 	Create(ctx context.Context, k platform.Kind, name string, v any) (platform.Object, error)
@@ -60,20 +63,20 @@
 	Delete(ctx context.Context, k platform.Kind, name string, at platform.Revision) error
 }
 
-// Desk accepts bundles at the platform.
+// Desk signs bundles, puts them into force on the platform and reads them back.
 type Desk struct {
 	Store    Store
 	Verifier *bundle.Verifier
 }
 
-// held is the accepted bundle and the revision that it was read at; both are
-// zero before the first.
+// held is the accepted bundle and the platform revision at which it was read. It
+// is the zero value if no bundle was ever accepted.
 type held struct {
 	*bundle.Accepted
 	at platform.Revision
 }
 
-// Current returns the accepted bundle, or nil before the first.
+// Current returns the accepted bundle, or nil if none was ever accepted.
 func (d *Desk) Current(ctx context.Context) (*bundle.Accepted, error) {
 	h, err := d.read(ctx)
 	return h.Accepted, err
@@ -99,7 +102,7 @@
 	return d.Verifier.Verify(s)
 }
 
-// Sign returns the text as the child of the accepted bundle.
+// Sign signs the text as the next version, with the accepted bundle as its parent.
 func (d *Desk) Sign(ctx context.Context, text []byte, author string, key minisign.PrivateKey) (bundle.Signed, error) {
 	h, err := d.read(ctx)
 	if err != nil {
@@ -117,9 +120,11 @@
 }
 
 const (
-	// acceptTries bounds how often a write whose answer was lost is read back.
+	// acceptTries bounds the attempts to accept a bundle. Each reads the accepted
+	// bundle first, and so detects a write whose response was lost.
 	acceptTries = 10
-	// acceptFirst is the first wait before reading back; it doubles, jittered.
+	// acceptFirst is the delay before the second attempt. Further delays grow
+	// exponentially, with jitter.
 	acceptFirst = 50 * time.Millisecond
 )
 
@@ -129,13 +134,14 @@
 	return b
 }
 
-// Accept brings the signed bundle into force if its parent still is.
+// Accept puts the signed bundle into force if its parent is in force.
 //
-// The answer to the write may be lost after it took effect; an operator who is
-// then told "failed" would roll out a second time. It shows as ErrUnknown from
-// the platform, and is resolved by reading back: the bundle with this digest is
-// there, or another is, or the parent still is and the write may be repeated,
-// since its condition lets it take effect once at most.
+// The platform's response may be lost after the write took effect. If that were
+// reported as a failure, the operator would roll the bundle out a second time.
+// Accept therefore retries by first reading the accepted bundle. If it is the one
+// to accept, the write took effect; if it is another, there is a conflict; if it
+// is still the parent, the write is repeated. That is safe because the write is
+// conditional and takes effect at most once.
 func (d *Desk) Accept(ctx context.Context, s bundle.Signed) (*bundle.Accepted, error) {
 	mine, err := d.Verifier.Verify(s)
 	if err != nil {
@@ -172,8 +178,8 @@
 	return nil, fmt.Errorf("%w: %w", ErrNotAccepted, err)
 }
 
-// settled reports whether the bundle is accepted already, and returns a
-// Conflict when it can't be any more.
+// settled reports whether the bundle has been accepted already. It returns a
+// permanent Conflict error if it can no longer be accepted.
 func (d *Desk) settled(ctx context.Context, h held, mine *bundle.Accepted, wrote bool) (bool, error) {
 	cur := h.Accepted
 	switch {
@@ -191,8 +197,8 @@
 	return false, backoff.Permanent(&Conflict{Current: cur, Mine: mine.Stamp})
 }
 
-// inHistory tells whether the bundle was accepted and then followed by another,
-// while this operator's answers were being lost.
+// inHistory reports whether the bundle was accepted and has since been replaced by
+// a later version. This happens when the response to its own write was lost.
 func (d *Desk) inHistory(ctx context.Context, mine *bundle.Accepted) (bool, error) {
 	o, err := d.Store.Get(ctx, platform.KindHistory, historyName(mine.Version))
 	if err != nil {
@@ -210,8 +216,8 @@
 
 func historyName(v bundle.Version) string { return fmt.Sprintf("%012d", v) }
 
-// keepHistory writes the bundle that is about to be replaced to the history, so
-// that no version is lost even if an operator's command dies half way.
+// keepHistory stores the accepted bundle in the history before it is replaced, so
+// that no version is lost if the operator's command is interrupted.
 func (d *Desk) keepHistory(ctx context.Context, h held) error {
 	if h.Accepted == nil {
 		return nil
@@ -224,19 +230,19 @@
 }
 
 const (
-	// historyKept is how many earlier versions stay: more than a day of a large
-	// fleet's 830 changes, some 210 MB of its bundles.
+	// historyKept is the number of earlier versions that are kept: more than one
+	// day of a large fleet, which has 830 changes. That is about 210 MB of bundles.
 	historyKept = 1000
-	// pruneAgain is how many older versions are looked at besides, in case an
-	// earlier command could not remove its one.
+	// pruneAgain is the number of still older versions that are also removed, in
+	// case an earlier command failed to remove them.
 	pruneAgain = 3
-	// pruneTimeout bounds what pruning adds to an acceptance.
+	// pruneTimeout bounds the time that pruning adds to Accept.
 	pruneTimeout = 2 * time.Second
 )
 
-// prune removes the version that the new one makes too old, and those just
-// before it. The new bundle is in force by now: what fails is left to the next
-// acceptance, and is nothing that the operator needs to act on.
+// prune removes the version that exceeds historyKept after version v was accepted,
+// and the pruneAgain versions before it. Errors are ignored: the new bundle is in
+// force already, and the next acceptance tries to remove the same versions again.
 func (d *Desk) prune(ctx context.Context, v bundle.Version) {
 	ctx, stop := context.WithTimeout(ctx, pruneTimeout)
 	defer stop()
@@ -253,8 +259,8 @@
 	}
 }
 
-// write makes the conditional write. A failed condition is looked at again by
-// the caller, which reads what is there.
+// write replaces the accepted bundle on the condition that it is still the one in
+// h. If the condition fails, the caller retries from reading the accepted bundle.
 func (d *Desk) write(ctx context.Context, h held, s bundle.Signed) error {
 	var err error
 	if h.Accepted == nil {
@@ -265,7 +271,7 @@
 	return err
 }
 
-// History returns the accepted bundle of a version.
+// History returns the bundle that was accepted as version v.
 func (d *Desk) History(ctx context.Context, v bundle.Version) (*bundle.Accepted, error) {
 	cur, err := d.Current(ctx)
 	if err != nil {
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -62,8 +62,9 @@
 	return a
 }
 
-// Two operators sign bundles on the same parent. The second must hear that it
-// was not accepted, and whose is: else both believe that theirs is in force.
+// Two operators sign bundles with the same parent. The second one to accept must
+// get an error that names the author of the accepted bundle; otherwise both
+// operators would assume that theirs is in force.
 func TestSecondOfTwoBundlesOnOneParentIsToldWhose(t *testing.T) {
 	b := newBench(t)
 	b.accept(t, text)
@@ -75,36 +76,37 @@
 	_, err := b.desk.Accept(t.Context(), mine)
 	var c *Conflict
 	if !errors.As(err, &c) || c.Current.Author != "neema" || !errors.Is(err, ErrNotAccepted) {
-		t.Errorf("err = %v", err)
+		t.Errorf("err = %v, want a conflict with the bundle of neema", err)
 	}
 	if again, err := b.desk.Accept(t.Context(), theirs); err != nil || again.Version != 2 {
-		t.Errorf("accepting the accepted one again: %v", err)
+		t.Errorf("accepting the bundle in force again: %v", err)
 	}
 }
 
-// The platform takes the write and its answer is lost. The operator must not be
-// told that it failed, nor make a second version of it.
+// The platform applies a write but its response is lost. Accept must not report a
+// failure and must not create a second version.
 func TestLostAnswersAreReadBack(t *testing.T) {
 	b := newBench(t)
 	for lost := range 4 {
 		b.store.Set(standin.Faults{LoseAnswers: lost})
 		if a := b.accept(t, fmt.Sprintf("# %d\n%s", lost, text)); a.Version != bundle.Version(lost+1) {
-			t.Errorf("with %d answers lost: version %d", lost, a.Version)
+			t.Errorf("with %d responses lost: accepted as version %d", lost, a.Version)
 		}
 	}
 	for v := range bundle.Version(4) {
 		if a, err := b.desk.History(t.Context(), v+1); err != nil || a.Version != v+1 {
-			t.Errorf("version %d of the history: %v", v+1, err)
+			t.Errorf("history returned no or another version %d, err %v", v+1, err)
 		}
 	}
 }
 
-// A fleet changes its bundle 830 times a day, and nothing removed the versions
-// before: 175 MB a day at the platform. The latest must stay, the oldest go, and
-// one whose removal failed must go with the next.
+// A fleet changes its bundle 830 times a day. When old versions were never removed
+// from the history, it grew by 175 MB a day on the platform. The latest versions
+// must be kept and older ones removed, including one whose removal failed before.
 func TestHistoryKeepsTheLatestVersions(t *testing.T) {
 	b := newBench(t)
-	// The line is long already; only its end is made here.
+	// The history starts almost full. All its entries hold the same bundle, since
+	// only their names matter here.
 	at := bundle.Version(historyKept + 10)
 	last, err := bundle.Sign([]byte(text), bundle.Stamp{Version: at}, b.key)
 	if err != nil {
@@ -129,12 +131,13 @@
 	b.accept(t, "# Two more.\n"+text)
 	for v, want := range map[bundle.Version]bool{at - 1: true, at + 2 - historyKept: true, at + 1 - historyKept: false, at - historyKept: false, at - 1 - historyKept: false} {
 		if kept(v) != want {
-			t.Errorf("version %d of %d: kept %t", v, at+2, kept(v))
+			t.Errorf("version %d of %d in the history: %t", v, at+2, kept(v))
 		}
 	}
 }
 
-// With the platform down an operator is told plainly that nothing was accepted.
+// While the platform is down, Accept must report that the bundle was certainly not
+// accepted, because no write was sent.
 func TestOutageIsNotAccepted(t *testing.T) {
 	b := newBench(t)
 	s, _ := b.desk.Sign(t.Context(), []byte(text), "neema", b.key)
@@ -142,13 +145,12 @@
 	ctx, stop := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer stop()
 	if _, err := b.desk.Accept(ctx, s); !errors.Is(err, ErrNotAccepted) || errors.Is(err, ErrUnknown) {
-		t.Errorf("err = %v", err)
+		t.Errorf("err = %v, want ErrNotAccepted only", err)
 	}
 }
 
-// An operator takes a zone out at short notice while a colleague rolls out a
-// change of a queue. The zone must go out, the colleague's change must stay, and
-// the comments that people left in the file, too.
+// Several operators take availability zones out at the same time. Each change must
+// be applied on top of the others, and comments in the bundle must be preserved.
 func TestZoneMovesOnTopOfOthersBundles(t *testing.T) {
 	b := newBench(t)
 	b.accept(t, text)
@@ -167,14 +169,15 @@
 		t.Fatalf("version %d, %v:\n%s", a.Version, err, a.Signed.Text)
 	}
 	if !strings.Contains(a.Signed.Text, "# the old hall") {
-		t.Errorf("a comment was lost:\n%s", a.Signed.Text)
+		t.Errorf("a comment was removed from the bundle:\n%s", a.Signed.Text)
 	}
 	if _, err := b.desk.SetZone(t.Context(), "dar-9", bundle.ZoneStateOut, "juma", b.key); !errors.Is(err, ErrNotAccepted) || !strings.Contains(err.Error(), "dar-1, dar-2") {
-		t.Errorf("unknown zone: %v", err)
+		t.Errorf("SetZone with an unknown zone: %v", err)
 	}
 }
 
-// acceptIn is one operator's try, as the model of the line of versions sees it.
+// acceptIn is one operation of the model: a read of the accepted bundle, or the
+// attempt to accept the bundle with the digest and parent.
 type acceptIn struct {
 	read   bool
 	digest bundle.Digest
@@ -186,8 +189,8 @@
 	ok     bool
 }
 
-// line is the register of the accepted bundle: a read returns it, an accept
-// replaces it if its parent is the one held.
+// line models the accepted bundle as a register. A read returns the digest in the
+// register; an accept replaces it if the register holds the bundle's parent.
 var line = porcupine.Model{
 	Init: func() any { return bundle.Digest("") },
 	Step: func(state, input, output any) (bool, any) {
@@ -198,14 +201,14 @@
 		case out.ok:
 			return cur == in.parent, in.digest
 		}
-		return cur != in.parent, cur // refused: somebody else's was there
+		return cur != in.parent, cur // rejected: another bundle was in force
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Operators race with competing bundles while the platform loses answers. By
-// the history of what each was told there must be one line of versions: exactly
-// one child for each parent, and never a step back.
+// Operators accept competing bundles concurrently while the platform loses
+// responses. The results returned to them must be linearizable as one sequence of
+// versions, in which each parent has exactly one child and no version returns.
 func TestRacingOperatorsMakeOneLine(t *testing.T) {
 	conflicts := 0
 	for seed := range uint64(raceRuns(t)) {
@@ -216,7 +219,7 @@
 			model := line
 			model.Init = func() any { return first.Digest }
 			if !porcupine.CheckOperations(model, ops) {
-				t.Fatalf("seed %d: no one line explains what operators were told: %+v", seed, ops)
+				t.Fatalf("seed %d: results are not linearizable: %+v", seed, ops)
 			}
 			for _, o := range ops {
 				if !o.Input.(acceptIn).read && !o.Output.(acceptOut).ok {
@@ -226,11 +229,11 @@
 		})
 	}
 	if conflicts == 0 {
-		t.Error("nobody ever raced")
+		t.Error("no run had a conflict")
 	}
 }
 
-// raceRuns is how many races are checked; POMELOWAY_RACES asks for more.
+// raceRuns returns the number of races to check, which POMELOWAY_RACES overrides.
 func raceRuns(t *testing.T) int {
 	n, err := strconv.Atoi(cmp.Or(os.Getenv("POMELOWAY_RACES"), "150"))
 	if err != nil {
@@ -282,10 +285,10 @@
 	return ops
 }
 
-// Operators move zones at short notice while colleagues roll out bundles. A move
-// that must be made on the very bundle it was read from is refused whenever a
-// colleague is faster; one that looks again at its zone alone is not. The counts
-// are those of docs/MEASURES.md.
+// Operators change zones while others accept bundles. A change that is tied to the
+// bundle from which it was computed fails whenever another bundle is accepted
+// first. SetZone, which checks only its own zone again, must never fail. The
+// counts are those in docs/MEASURES.md.
 func TestZoneMovesAreNotRefusedForOthersBundles(t *testing.T) {
 	type mover func(*Desk, bundle.Name, bundle.ZoneState, minisign.PrivateKey) error
 	once := func(d *Desk, z bundle.Name, to bundle.ZoneState, k minisign.PrivateKey) error {
@@ -322,8 +325,8 @@
 		return n
 	}
 	plain, validated := refused(once), refused(again)
-	t.Logf("of 100 racing moves refused: %d on the bundle read, %d with the zone looked at again", plain, validated)
+	t.Logf("of 100 concurrent zone changes rejected: %d without and %d with a second check of the zone", plain, validated)
 	if validated > 0 || plain == 0 {
-		t.Errorf("refused: %d and %d", plain, validated)
+		t.Errorf("rejected without and with a second check: %d and %d, want some and none", plain, validated)
 	}
 }
--- a/operator/status.go
+++ b/operator/status.go
@@ -17,7 +17,8 @@
 	"pomeloway.example/pomeloway/process"
 )
 
-// Row is what one member says of itself.
+// Row is the status of one member. Reached is false if the member did not respond;
+// Error then holds the reason.
 type Row struct {
 	Member  fleet.Member   `json:"member"`
 	Reached bool           `json:"reached"`
@@ -26,18 +27,20 @@
 	Error   string         `json:"error,omitempty"`
 }
 
-// Survey asks members which bundle is in force there.
+// Survey queries members for the version of the bundle that they have in force.
+// HTTP may be nil.
 type Survey struct {
 	HTTP *http.Client
 }
 
 const (
-	// askAtOnce bounds the calls that run together.
-	askAtOnce  = 32
+	// askAtOnce bounds the number of concurrent calls.
+	askAtOnce = 32
+	// askTimeout bounds one call to a member.
 	askTimeout = 2 * time.Second
 )
 
-// Members reads the members from the platform.
+// Members returns the members that are registered on the platform.
 func Members(ctx context.Context, c *platform.Client) ([]fleet.Member, error) {
 	l, err := c.List(ctx, platform.KindMember)
 	if err != nil {
@@ -53,7 +56,8 @@
 	return ms, nil
 }
 
-// MembersFrom reads the members from one process, for when the platform is down.
+// MembersFrom returns the members known to one process, given by the address of its
+// operator endpoints. It is used while the platform is down.
 func (s *Survey) MembersFrom(ctx context.Context, operator string) ([]fleet.Member, error) {
 	var v process.Status
 	if err := s.get(ctx, "http://"+operator+"/state", &v); err != nil {
@@ -62,7 +66,7 @@
 	return slices.DeleteFunc(v.Members, func(m fleet.Member) bool { return m.Phase == fleet.PhaseLeft }), nil
 }
 
-// Ask returns a row for each member, ordered by id.
+// Ask queries all members and returns a row for each, ordered by id.
 func (s *Survey) Ask(ctx context.Context, ms []fleet.Member) []Row {
 	rows := make([]Row, len(ms))
 	slots := make(chan struct{}, askAtOnce)
@@ -106,7 +110,8 @@
 	return eris.Wrap(json.NewDecoder(a.Body).Decode(v), "status")
 }
 
-// Lagging returns the rows in which a version below v is in force.
+// Lagging returns the rows of members that have a version below v in force. Those
+// that were not reached have version 0.
 func Lagging(rows []Row, v bundle.Version) []Row {
 	var out []Row
 	for _, r := range rows {
@@ -117,7 +122,7 @@
 	return out
 }
 
-// Newest returns the highest version in force anywhere.
+// Newest returns the highest version that any of the members has in force.
 func Newest(rows []Row) bundle.Version {
 	var v bundle.Version
 	for _, r := range rows {
--- a/operator/zone.go
+++ b/operator/zone.go
@@ -14,17 +14,18 @@
 	"pomeloway.example/pomeloway/bundle"
 )
 
-// zoneTries bounds how often a zone move meets another operator's bundle.
+// zoneTries bounds the attempts of a zone change that conflicts with other
+// operators' bundles.
 const zoneTries = 20
 
 // SetZone takes an availability zone out or back in.
 //
-// The move reads one thing of the bundle, that zone. When another operator's
-// bundle came first, only that is looked at again in the new bundle, and the
-// move is made on top of it; a move of a zone must not be refused because
-// somebody changed a queue's length. This is the validation of a predicate in
-// place of a whole read set of Brägger and Reimer (Predicative Scheduling, ETH
-// report 53, 1983); docs/DESIGN.md has the measurement.
+// The change depends only on the state of that zone. If another operator's bundle
+// was accepted in the meantime, only the zone's state is checked again in the new
+// bundle and the change is applied on top of it. A zone change must not fail
+// because somebody changed, say, the length of a queue. This corresponds to
+// validating a predicate instead of the whole read set (Brägger and Reimer,
+// Predicative Scheduling, ETH report 53, 1983); docs/DESIGN.md has the measurement.
 func (d *Desk) SetZone(ctx context.Context, zone bundle.Name, to bundle.ZoneState, author string, key minisign.PrivateKey) (*bundle.Accepted, error) {
 	var last error
 	for range zoneTries {
@@ -44,7 +45,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrNotAccepted, err)
 	}
 	if cur == nil {
-		return nil, eris.Wrap(ErrNotAccepted, "there is no bundle yet")
+		return nil, eris.Wrap(ErrNotAccepted, "no bundle has been accepted yet")
 	}
 	text, changed, err := EditZone([]byte(cur.Signed.Text), zone, to)
 	if err != nil || !changed {
@@ -58,7 +59,7 @@
 }
 
 // EditZone returns the bundle's text with the state of the zone changed, and
-// everything else, comments too, as it was.
+// whether it changed. Everything else in the text is preserved, including comments.
 func EditZone(text []byte, zone bundle.Name, to bundle.ZoneState) ([]byte, bool, error) {
 	b, err := bundle.Decode(text)
 	if err != nil {
@@ -74,7 +75,7 @@
 		out, err := replaceState(text, i, to)
 		return out, true, err
 	}
-	return nil, false, eris.Wrapf(ErrNotAccepted, "the bundle has no availability zone %q; it has %s", zone, zoneNames(b))
+	return nil, false, eris.Wrapf(ErrNotAccepted, "the bundle has no availability zone %q, only %s", zone, zoneNames(b))
 }
 
 func replaceState(text []byte, i int, to bundle.ZoneState) ([]byte, error) {
@@ -84,10 +85,10 @@
 	}
 	p, err := yaml.PathString(fmt.Sprintf("$.zones[%d].state", i))
 	if err != nil {
-		return nil, eris.Wrap(err, "zone's path")
+		return nil, eris.Wrap(err, "build YAML path of the availability zone's state")
 	}
 	if err := p.ReplaceWithReader(f, strings.NewReader(string(to))); err != nil {
-		return nil, eris.Wrap(err, "zone's state")
+		return nil, eris.Wrap(err, "replace the availability zone's state")
 	}
 	return []byte(f.String()), nil
 }
