--- a/peer/client.go
+++ b/peer/client.go
@@ -23,18 +23,18 @@
 // callTimeout bounds a call to a peer, on top of the requested long-poll wait.
 const callTimeout = 3 * time.Second
 
-// maxChange bounds a peer's response in bytes, before and after decompression.
+// maxChangeBytes bounds a peer's response in bytes, before and after decompression.
 // The full view of a large fleet fits.
-const maxChange = 64 << 20
+const maxChangeBytes = 64 << 20
 
 // Client calls peers. Callers' requests and view synchronization use separate
 // connections: those for synchronization send keep-alives less often.
 type Client struct {
-	calls, follows *http3.Transport
+	requests, viewSync *http3.Transport
 
 	mu sync.Mutex
-	// have is the compression dictionary built from the bundle in force.
-	have *dictionary
+	// dict is the compression dictionary built from the bundle in force.
+	dict *dictionary
 }
 
 // NewClient returns a client that authenticates with the identity.
@@ -42,7 +42,7 @@
 	transport := func(idle, alive time.Duration) *http3.Transport {
 		return &http3.Transport{
 			QUICConfig: &quic.Config{
-				HandshakeIdleTimeout: peerHandshake, MaxIdleTimeout: idle, KeepAlivePeriod: alive, MaxIncomingStreams: peerStreams,
+				HandshakeIdleTimeout: handshakeTimeout, MaxIdleTimeout: idle, KeepAlivePeriod: alive, MaxIncomingStreams: maxPeerStreams,
 			},
 			// The TLS settings are built for each connection, because peers reject
 			// the key from process start once operators have retired it.
@@ -51,16 +51,16 @@
 			},
 		}
 	}
-	return &Client{calls: transport(callIdle, callAlive), follows: transport(followIdle, followAlive)}
+	return &Client{requests: transport(callIdleTimeout, callKeepAlive), viewSync: transport(followIdleTimeout, followKeepAlive)}
 }
 
 // RoundTrip sends one request to a peer; the URL's host is the peer's address.
-func (c *Client) RoundTrip(r *http.Request) (*http.Response, error) { return c.calls.RoundTrip(r) }
+func (c *Client) RoundTrip(r *http.Request) (*http.Response, error) { return c.requests.RoundTrip(r) }
 
 // Close closes all connections.
 func (c *Client) Close() {
-	c.calls.Close()
-	c.follows.Close()
+	c.requests.Close()
+	c.viewSync.Close()
 }
 
 // Position is the point up to which a follower has read a peer's view.
@@ -84,7 +84,7 @@
 	if err != nil {
 		return out, eris.Wrap(err, "follow")
 	}
-	d.ask(r.Header)
+	d.setRequestHeaders(r.Header)
 	b, err := c.do(r, d)
 	if err != nil {
 		return out, err
@@ -116,23 +116,23 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.have == nil || c.have.of != a.Digest {
+	if c.dict == nil || c.dict.digest != a.Digest {
 		d, err := newDictionary(a.Signed.Text)
 		if err != nil {
 			return 0, nil, err
 		}
-		c.have = d
+		c.dict = d
 	}
-	return a.Version, c.have, nil
+	return a.Version, c.dict, nil
 }
 
 func (c *Client) do(r *http.Request, d *dictionary) ([]byte, error) {
-	a, err := c.follows.RoundTrip(r)
+	a, err := c.viewSync.RoundTrip(r)
 	if err != nil {
 		return nil, eris.Wrapf(err, "peer %s", r.URL.Host)
 	}
 	defer a.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(a.Body, maxChange))
+	b, err := io.ReadAll(io.LimitReader(a.Body, maxChangeBytes))
 	if err != nil {
 		return nil, eris.Wrapf(err, "peer %s", r.URL.Host)
 	}
--- a/peer/identity.go
+++ b/peer/identity.go
@@ -43,7 +43,7 @@
 func (i *Identity) Set(r keyring.Ring) error {
 	certs := map[bundle.KeyID]tls.Certificate{}
 	for _, s := range r {
-		c, err := certificate(s)
+		c, err := newCertificate(s)
 		if err != nil {
 			return err
 		}
@@ -58,18 +58,18 @@
 	return nil
 }
 
-// certificateLife is long because validity depends on the fleet keys in force,
+// certificateLifetime is long because validity depends on the fleet keys in force,
 // not on the expiry date.
-const certificateLife = 10 * 365 * 24 * time.Hour
+const certificateLifetime = 10 * 365 * 24 * time.Hour
 
-func certificate(s keyring.Secret) (tls.Certificate, error) {
+func newCertificate(s keyring.Secret) (tls.Certificate, error) {
 	k := ed25519.NewKeyFromSeed(s.Derive(keyring.UseTLS, ed25519.SeedSize))
 	t := &x509.Certificate{
 		SerialNumber: big.NewInt(int64(s.ID())),
 		Subject:      pkix.Name{CommonName: serverName(s.ID())},
 		DNSNames:     []string{serverName(s.ID())},
 		NotBefore:    time.Unix(0, 0),
-		NotAfter:     time.Now().Add(certificateLife),
+		NotAfter:     time.Now().Add(certificateLifetime),
 	}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, k.Public(), k)
 	if err != nil {
@@ -84,7 +84,7 @@
 func (i *Identity) ServerTLS() *tls.Config {
 	return http3.ConfigureTLSConfig(&tls.Config{
 		MinVersion:     tls.VersionTLS13,
-		GetCertificate: func(h *tls.ClientHelloInfo) (*tls.Certificate, error) { return i.byName(h.ServerName) },
+		GetCertificate: func(h *tls.ClientHelloInfo) (*tls.Certificate, error) { return i.certificateByName(h.ServerName) },
 		ClientAuth:     tls.RequireAnyClientCert,
 		// Certificates are self-signed: a peer is identified by its public key.
 		VerifyPeerCertificate: i.verify,
@@ -100,7 +100,7 @@
 		MinVersion: tls.VersionTLS13,
 		ServerName: name,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return i.byName(name)
+			return i.certificateByName(name)
 		},
 		// VerifyPeerCertificate checks the public key instead of the chain.
 		InsecureSkipVerify:    true,
@@ -108,7 +108,7 @@
 	})
 }
 
-func (i *Identity) byName(name string) (*tls.Certificate, error) {
+func (i *Identity) certificateByName(name string) (*tls.Certificate, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for id, c := range i.certs {
--- a/peer/node.go
+++ b/peer/node.go
@@ -27,23 +27,24 @@
 )
 
 const (
-	// relaysLeast is the minimum number of relays per availability zone, and
-	// followersMost the number of processes that one relay should serve: it sends
-	// each change of the bundle to all of them over its own network link.
-	relaysLeast   = 2
-	followersMost = 40
+	// minRelays is the minimum number of relays per availability zone, and
+	// followersPerRelay the number of processes that one relay should serve: it
+	// sends each change of the bundle to all of them over its own network link.
+	minRelays         = 2
+	followersPerRelay = 40
 	// watchWait is how long one long poll waits for a change.
 	watchWait = 20 * time.Second
-	// retryFirst and retryMost bound the jittered backoff after a failed call.
-	retryFirst = 200 * time.Millisecond
-	retryMost  = 10 * time.Second
-	// renewEvery is how often a member rewrites its unchanged record. Records that
-	// are not renewed can so be distinguished from those of live members.
-	renewEvery = 10 * time.Minute
-	// collectEvery is how often expired state is removed from the view.
-	collectEvery = time.Minute
-	// reapAfter is how long a member must be suspected before a relay removes its
-	// object from the platform.
+	// initialRetryDelay and maxRetryDelay bound the jittered backoff after a
+	// failed call.
+	initialRetryDelay = 200 * time.Millisecond
+	maxRetryDelay     = 10 * time.Second
+	// renewInterval is how often a member rewrites its unchanged record. Records
+	// that are not renewed can so be distinguished from those of live members.
+	renewInterval = 10 * time.Minute
+	// collectInterval is how often expired state is removed from the view.
+	collectInterval = time.Minute
+	// reapAfter is how long a member must be doubted (considered failed by its
+	// observers) before a relay removes its object from the platform.
 	reapAfter = 2 * time.Minute
 	// currentBundle is the platform object that holds the bundle in force.
 	currentBundle = "current"
@@ -62,17 +63,17 @@
 	// the processes' views diverge. Nil means no delay.
 	Lag func() time.Duration
 
-	mu       sync.Mutex
-	known    sources
-	self     fleet.Member
-	written  platform.Revision
-	down     bool
-	announce chan struct{}
+	mu              sync.Mutex
+	cachedSources   sources
+	self            fleet.Member
+	writtenRevision platform.Revision
+	platformDown    bool
+	publishNow      chan struct{}
 }
 
 // NewNode returns a node that publishes self as its member record.
 func NewNode(s *fleet.State, c *Client, p *platform.Client, l *events.Log, self fleet.Member) *Node {
-	n := &Node{State: s, Client: c, Platform: p, Log: l, self: self, announce: make(chan struct{}, 1)}
+	n := &Node{State: s, Client: c, Platform: p, Log: l, self: self, publishNow: make(chan struct{}, 1)}
 	s.Merge(fleet.Change{Members: []fleet.Member{self}})
 	return n
 }
@@ -92,7 +93,7 @@
 	m := n.self
 	n.mu.Unlock()
 	n.State.Merge(fleet.Change{Members: []fleet.Member{m}})
-	n.wake()
+	n.triggerPublish()
 }
 
 // leaveTimeout bounds the calls that a process makes when it shuts down.
@@ -104,16 +105,16 @@
 	n.SetPhase(fleet.PhaseLeft)
 	ctx, stop := context.WithTimeout(context.Background(), leaveTimeout)
 	defer stop()
-	n.tell(ctx)
+	n.announceSelf(ctx)
 	n.mu.Lock()
-	at := n.written
+	at := n.writtenRevision
 	n.mu.Unlock()
 	n.Platform.Delete(ctx, platform.KindMember, string(n.Self().ID), at)
 }
 
-func (n *Node) wake() {
+func (n *Node) triggerPublish() {
 	select {
-	case n.announce <- struct{}{}:
+	case n.publishNow <- struct{}{}:
 	default:
 	}
 }
@@ -140,7 +141,7 @@
 
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval = retryFirst, retryMost
+	b.InitialInterval, b.MaxInterval = initialRetryDelay, maxRetryDelay
 	b.Reset()
 	return b
 }
@@ -163,7 +164,7 @@
 		}
 	}
 	for z := range out {
-		out[z] = fleet.Rank(relayKey, out[z], max(relaysLeast, size[z]/followersMost))
+		out[z] = fleet.Rank(relayKey, out[z], max(minRelays, size[z]/followersPerRelay))
 	}
 	return out
 }
@@ -174,12 +175,12 @@
 	relay      bool
 	peers      []netip.AddrPort
 	generation uint64
-	at         time.Time
+	computedAt time.Time
 }
 
-// sourcesLife is how long sources stay valid while the view does not change:
+// maxSourcesAge is how long sources stay valid while the view does not change:
 // whether a member counts as doubted also depends on the time.
-const sourcesLife = 5 * time.Second
+const maxSourcesAge = 5 * time.Second
 
 // sources returns whether this node is a relay, and the peers to follow. The
 // result is cached: scanning the whole view on each call would cost every process
@@ -187,13 +188,13 @@
 func (n *Node) sources() (relay bool, peers []netip.AddrPort) {
 	g := n.State.Generation()
 	n.mu.Lock()
-	k := n.known
+	k := n.cachedSources
 	n.mu.Unlock()
-	if k.at.IsZero() || k.generation != g || time.Since(k.at) > sourcesLife {
-		k = sources{generation: g, at: time.Now()}
+	if k.computedAt.IsZero() || k.generation != g || time.Since(k.computedAt) > maxSourcesAge {
+		k = sources{generation: g, computedAt: time.Now()}
 		k.relay, k.peers = n.findSources()
 		n.mu.Lock()
-		n.known = k
+		n.cachedSources = k
 		n.mu.Unlock()
 	}
 	return k.relay, k.peers
@@ -269,13 +270,13 @@
 	if n.Lag != nil && !clock.Sleep(ctx, n.Lag()) {
 		return false
 	}
-	n.take(c, "peer "+a.String())
+	n.mergeChange(c, "peer "+a.String())
 	at[a] = Position{Epoch: c.Epoch, Revision: c.Revision}
 	return true
 }
 
-// take merges a change into the view and logs the result.
-func (n *Node) take(c fleet.Change, from string) {
+// mergeChange merges a change into the view and logs the result.
+func (n *Node) mergeChange(c fleet.Change, from string) {
 	m := n.State.Merge(c)
 	if m.Err != nil {
 		n.Log.Add(events.BundleRefused, slog.String("from", from), slog.String("error", m.Err.Error()))
@@ -287,7 +288,7 @@
 	n.logMembers(events.MemberJoined, m.Joined)
 	n.logMembers(events.MemberChanged, m.Changed)
 	for i := range c.Members {
-		n.heard(&c.Members[i])
+		n.reassertSelf(&c.Members[i])
 	}
 }
 
@@ -297,27 +298,27 @@
 	}
 }
 
-// heard republishes the node's own record with a higher revision if a newer
-// record of the same incarnation was received.
-func (n *Node) heard(m *fleet.Member) {
+// reassertSelf republishes the node's own record with a higher revision if a
+// newer record of the same incarnation was received.
+func (n *Node) reassertSelf(m *fleet.Member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	// A process that was removed by mistake, while it was paused or partitioned,
 	// receives its own incarnation in phase left. A higher revision overrides that.
 	if m.ID == n.self.ID && m.Incarnation == n.self.Incarnation && m.Newer(&n.self) {
 		n.self.Revision = m.Revision + 1
-		n.wake()
+		n.triggerPublish()
 	}
 }
 
 // collect periodically removes expired state from the view. On a relay it also
 // deletes the platform objects of failed members.
 func (n *Node) collect(ctx context.Context) {
-	since := map[fleet.MemberID]time.Time{}
-	for clock.Sleep(ctx, collectEvery) {
+	doubtedSince := map[fleet.MemberID]time.Time{}
+	for clock.Sleep(ctx, collectInterval) {
 		n.State.Collect()
 		if relay, _ := n.sources(); relay {
-			n.reap(ctx, since)
+			n.reap(ctx, doubtedSince)
 		}
 	}
 }
--- a/peer/pack.go
+++ b/peer/pack.go
@@ -25,26 +25,26 @@
 
 // Content encodings, and the request header that names the follower's dictionary.
 const (
-	encodingWhole    = "zstd"
-	encodingDelta    = "dcz"
+	encodingZstd     = "zstd"
+	encodingDCZ      = "dcz"
 	headerDictionary = "Available-Dictionary"
 )
 
-// deltaMagic starts a dcz body and is followed by the dictionary's SHA-256
+// dczMagic starts a dcz body and is followed by the dictionary's SHA-256
 // (RFC 9842, section 5). A zstd decoder skips both as one skippable frame.
-var deltaMagic = []byte{0x5e, 0x2a, 0x4d, 0x18, 0x20, 0, 0, 0}
+var dczMagic = []byte{0x5e, 0x2a, 0x4d, 0x18, 0x20, 0, 0, 0}
 
-// packFrom is the minimum length in bytes of a response that is compressed.
-const packFrom = 1200
+// minPackBytes is the minimum length in bytes of a response that is compressed.
+const minPackBytes = 1200
 
-// packWindow is the zstd window size in bytes, which bounds the memory of an
+// windowBytes is the zstd window size in bytes, which bounds the memory of an
 // encoder. A bundle of the largest size that the platform accepts fits.
-const packWindow = 2 << 20
+const windowBytes = 2 << 20
 
 // dictionary is a bundle's text, encoded as in a response, that serves as a zstd
 // dictionary.
 type dictionary struct {
-	of      bundle.Digest
+	digest  bundle.Digest
 	content []byte
 	hash    [sha256.Size]byte
 }
@@ -54,38 +54,38 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "dictionary")
 	}
-	return &dictionary{of: bundle.DigestOf([]byte(text)), content: b, hash: sha256.Sum256(b)}, nil
+	return &dictionary{digest: bundle.DigestOf([]byte(text)), content: b, hash: sha256.Sum256(b)}, nil
 }
 
-// name returns the dictionary's hash as a structured field value (RFC 8941).
-func (d *dictionary) name() string {
+// headerValue returns the dictionary's hash as a structured field value (RFC 8941).
+func (d *dictionary) headerValue() string {
 	return ":" + base64.StdEncoding.EncodeToString(d.hash[:]) + ":"
 }
 
-// ask sets the request headers that list the encodings the client can decode; d
-// may be nil.
-func (d *dictionary) ask(h http.Header) {
+// setRequestHeaders sets the request headers that list the encodings the client
+// can decode; d may be nil.
+func (d *dictionary) setRequestHeaders(h http.Header) {
 	if d == nil {
-		h.Set("Accept-Encoding", encodingWhole)
+		h.Set("Accept-Encoding", encodingZstd)
 		return
 	}
-	h.Set("Accept-Encoding", encodingDelta+", "+encodingWhole)
-	h.Set(headerDictionary, d.name())
+	h.Set("Accept-Encoding", encodingDCZ+", "+encodingZstd)
+	h.Set(headerDictionary, d.headerValue())
 }
 
 func newEncoder(o ...zstd.EOption) (*zstd.Encoder, error) {
-	o = append([]zstd.EOption{zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(packWindow)}, o...)
+	o = append([]zstd.EOption{zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(windowBytes)}, o...)
 	return zstd.NewWriter(nil, o...)
 }
 
 // packer compresses a server's responses. The zero value is ready to use.
 type packer struct {
 	mu    sync.Mutex
-	whole *zstd.Encoder
-	// delta is the encoder for known, the dictionary requested last. One is enough
-	// because most followers of a relay have the same bundle.
-	delta *zstd.Encoder
-	known *dictionary
+	plain *zstd.Encoder
+	// withDict is the encoder for dict, the dictionary requested last. One is
+	// enough because most followers of a relay have the same bundle.
+	withDict *zstd.Encoder
+	dict     *dictionary
 }
 
 // write writes the change in the most compact encoding that the follower accepts.
@@ -112,44 +112,44 @@
 // falls back to a response that is larger but still valid.
 func (p *packer) pack(b []byte, h http.Header, recent []string) (out []byte, encoding string) {
 	accepts := h.Get("Accept-Encoding")
-	if len(b) < packFrom || !strings.Contains(accepts, encodingWhole) {
+	if len(b) < minPackBytes || !strings.Contains(accepts, encodingZstd) {
 		return b, ""
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if strings.Contains(accepts, encodingDelta) && p.use(h.Get(headerDictionary), recent) {
-		out = append(append(out, deltaMagic...), p.known.hash[:]...)
-		return p.delta.EncodeAll(b, out), encodingDelta
+	if strings.Contains(accepts, encodingDCZ) && p.selectDictionary(h.Get(headerDictionary), recent) {
+		out = append(append(out, dczMagic...), p.dict.hash[:]...)
+		return p.withDict.EncodeAll(b, out), encodingDCZ
 	}
-	if p.whole == nil {
+	if p.plain == nil {
 		e, err := newEncoder()
 		if err != nil {
 			return b, ""
 		}
-		p.whole = e
+		p.plain = e
 	}
-	return p.whole.EncodeAll(b, nil), encodingWhole
+	return p.plain.EncodeAll(b, nil), encodingZstd
 }
 
-// use selects the named dictionary if it is that of a recent bundle, and reports
-// whether it did. The caller must hold p.mu.
-func (p *packer) use(name string, recent []string) bool {
+// selectDictionary selects the dictionary with the header value if it is that of
+// a recent bundle, and reports whether it did. The caller must hold p.mu.
+func (p *packer) selectDictionary(headerValue string, recent []string) bool {
 	if len(recent) == 0 {
 		return false
 	}
-	if p.known != nil && p.known.name() == name {
+	if p.dict != nil && p.dict.headerValue() == headerValue {
 		return true
 	}
 	for _, text := range recent {
 		d, err := newDictionary(text)
-		if err != nil || d.name() != name {
+		if err != nil || d.headerValue() != headerValue {
 			continue
 		}
 		e, err := newEncoder(zstd.WithEncoderDictRaw(0, d.content))
 		if err != nil {
 			return false
 		}
-		p.delta, p.known = e, d
+		p.withDict, p.dict = e, d
 		return true
 	}
 	return false
@@ -167,7 +167,7 @@
 		return 0, err
 	}
 	h := http.Header{}
-	d.ask(h)
+	d.setRequestHeaders(h)
 	out, _ := (&packer{}).pack(b, h, []string{have})
 	return len(out), nil
 }
@@ -175,13 +175,13 @@
 // unpack decompresses a response body. It needs the dictionary d only for a body
 // that was compressed with one.
 func unpack(b []byte, encoding string, d *dictionary) ([]byte, error) {
-	o := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxChange)}
+	o := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxChangeBytes)}
 	switch encoding {
 	case "":
 		return b, nil
-	case encodingWhole:
-	case encodingDelta:
-		if d == nil || !bytes.HasPrefix(b, append(deltaMagic[:len(deltaMagic):len(deltaMagic)], d.hash[:]...)) {
+	case encodingZstd:
+	case encodingDCZ:
+		if d == nil || !bytes.HasPrefix(b, append(dczMagic[:len(dczMagic):len(dczMagic)], d.hash[:]...)) {
 			return nil, eris.New("response is compressed with a different dictionary than this process has")
 		}
 		o = append(o, zstd.WithDecoderDictRaw(0, d.content))
--- a/peer/pack_test.go
+++ b/peer/pack_test.go
@@ -14,9 +14,9 @@
 	"pomeloway.example/pomeloway/keyring"
 )
 
-// services returns the text of a bundle with count services. Service n, counted
-// from zero, has the given number of slots, the others have 6.
-func services(count, n, slots int, k keyring.Secret) string {
+// bundleText returns the text of a bundle with count services. Service n,
+// counted from zero, has the given number of slots, the others have 6.
+func bundleText(count, n, slots int, k keyring.Secret) string {
 	var b strings.Builder
 	b.WriteString("services:\n")
 	for i := range count {
@@ -30,24 +30,24 @@
 	return b.String()
 }
 
-// line signs a sequence of bundles, each the child of the previous one.
-type line struct {
+// bundleChain signs a sequence of bundles, each the child of the previous one.
+type bundleChain struct {
 	key    minisign.PrivateKey
 	verify *bundle.Verifier
 	last   bundle.Stamp
 	digest bundle.Digest
 }
 
-func newLine(t *testing.T) *line {
+func newBundleChain(t *testing.T) *bundleChain {
 	t.Helper()
 	key, v, err := bundle.NewOperator()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &line{key: key, verify: v}
+	return &bundleChain{key: key, verify: v}
 }
 
-func (l *line) next(t *testing.T, text string) *bundle.Signed {
+func (l *bundleChain) next(t *testing.T, text string) *bundle.Signed {
 	t.Helper()
 	l.last = bundle.Stamp{Version: l.last.Version + 1, Parent: l.digest}
 	l.digest = bundle.DigestOf([]byte(text))
@@ -63,11 +63,11 @@
 // A follower with a recent bundle must receive little more than the changes; one
 // with an old or unknown bundle must receive the whole bundle.
 func TestFollowersGetTheDifferenceOfABundle(t *testing.T) {
-	l, k := newLine(t), keyring.NewSecret(1)
+	l, k := newBundleChain(t), keyring.NewSecret(1)
 	relay := fleet.NewState(l.verify)
 	var texts []string
 	for v := range 7 {
-		texts = append(texts, services(200, v, 9, k))
+		texts = append(texts, bundleText(200, v, 9, k))
 		if m := relay.Merge(fleet.Change{Bundle: l.next(t, texts[v])}); !m.Bundle {
 			t.Fatal(m.Err)
 		}
@@ -80,12 +80,12 @@
 	for name, x := range map[string]struct {
 		have     string
 		encoding string
-		most     int
+		maxBytes int
 	}{
-		"previous bundle":       {texts[5], encodingDelta, len(body) / 20},
-		"two bundles before":    {texts[4], encodingDelta, len(body) / 20},
-		"too old bundle":        {texts[0], encodingWhole, len(body) / 5},
-		"bundle never accepted": {services(200, 9, 99, k), encodingWhole, len(body) / 5},
+		"previous bundle":       {texts[5], encodingDCZ, len(body) / 20},
+		"two bundles before":    {texts[4], encodingDCZ, len(body) / 20},
+		"too old bundle":        {texts[0], encodingZstd, len(body) / 5},
+		"bundle never accepted": {bundleText(200, 9, 99, k), encodingZstd, len(body) / 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d, err := newDictionary(x.have)
@@ -93,9 +93,9 @@
 				t.Fatal(err)
 			}
 			h := http.Header{}
-			d.ask(h)
+			d.setRequestHeaders(h)
 			out, encoding := (&packer{}).pack(body, h, relay.Recent())
-			if encoding != x.encoding || len(out) > x.most {
+			if encoding != x.encoding || len(out) > x.maxBytes {
 				t.Errorf("response has %d bytes for a body of %d, encoding %q", len(out), len(body), encoding)
 			}
 			got, err := unpack(out, encoding, d)
@@ -111,19 +111,19 @@
 // not return garbage.
 func TestUnpackRefusesAnotherDictionary(t *testing.T) {
 	k := keyring.NewSecret(1)
-	mine, err := newDictionary(services(50, 1, 7, k))
+	mine, err := newDictionary(bundleText(50, 1, 7, k))
 	if err != nil {
 		t.Fatal(err)
 	}
-	theirs, err := newDictionary(services(50, 2, 7, k))
+	theirs, err := newDictionary(bundleText(50, 2, 7, k))
 	if err != nil {
 		t.Fatal(err)
 	}
 	h := http.Header{}
-	theirs.ask(h)
-	body := []byte(services(50, 3, 7, k))
-	out, encoding := (&packer{}).pack(body, h, []string{services(50, 2, 7, k)})
-	if encoding != encodingDelta {
+	theirs.setRequestHeaders(h)
+	body := []byte(bundleText(50, 3, 7, k))
+	out, encoding := (&packer{}).pack(body, h, []string{bundleText(50, 2, 7, k)})
+	if encoding != encodingDCZ {
 		t.Fatalf("expected the dictionary encoding, got %q", encoding)
 	}
 	for name, x := range map[string]struct {
@@ -131,12 +131,12 @@
 		encoding string
 		d        *dictionary
 	}{
-		"other dictionary":     {out, encodingDelta, mine},
-		"no dictionary":        {out, encodingDelta, nil},
-		"dcz labelled as zstd": {out, encodingWhole, nil},
-		"truncated":            {out[:len(out)-3], encodingDelta, theirs},
+		"other dictionary":     {out, encodingDCZ, mine},
+		"no dictionary":        {out, encodingDCZ, nil},
+		"dcz labelled as zstd": {out, encodingZstd, nil},
+		"truncated":            {out[:len(out)-3], encodingDCZ, theirs},
 		"unknown encoding":     {out, "br", theirs},
-		"empty":                {nil, encodingDelta, theirs},
+		"empty":                {nil, encodingDCZ, theirs},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, err := unpack(x.b, x.encoding, x.d); err == nil && string(got) == string(body) {
@@ -149,21 +149,21 @@
 }
 
 // FuzzUnpack decompresses arbitrary responses, as from a faulty peer. The output
-// must stay within maxChange.
+// must stay within maxChangeBytes.
 func FuzzUnpack(f *testing.F) {
 	d, err := newDictionary("services: []\n")
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add([]byte("x"), true)
-	f.Add(append(append([]byte(nil), deltaMagic...), d.hash[:]...), true)
+	f.Add(append(append([]byte(nil), dczMagic...), d.hash[:]...), true)
 	f.Add([]byte{0x28, 0xb5, 0x2f, 0xfd, 0, 0}, false)
 	f.Fuzz(func(t *testing.T, b []byte, delta bool) {
-		encoding := encodingWhole
+		encoding := encodingZstd
 		if delta {
-			encoding = encodingDelta
+			encoding = encodingDCZ
 		}
-		if out, err := unpack(b, encoding, d); err == nil && len(out) > maxChange {
+		if out, err := unpack(b, encoding, d); err == nil && len(out) > maxChangeBytes {
 			t.Errorf("unpacked to %d bytes, more than the limit", len(out))
 		}
 	})
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -21,9 +21,9 @@
 	"pomeloway.example/pomeloway/standin"
 )
 
-func member(role fleet.Role, host byte, zone bundle.ZoneID, life fleet.Incarnation) fleet.Member {
+func member(role fleet.Role, host byte, zone bundle.ZoneID, incarnation fleet.Incarnation) fleet.Member {
 	a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(zone), host}), 7001)
-	m := fleet.Member{ID: fleet.NewID(role, a), Role: role, Zone: zone, Link: a, Peer: netip.AddrPortFrom(a.Addr(), 7002), Incarnation: life, Phase: fleet.PhaseReady}
+	m := fleet.Member{ID: fleet.NewID(role, a), Role: role, Zone: zone, Link: a, Peer: netip.AddrPortFrom(a.Addr(), 7002), Incarnation: incarnation, Phase: fleet.PhaseReady}
 	if role == fleet.RoleAgent {
 		m.Service = 1
 	}
@@ -199,7 +199,7 @@
 	if err != nil || len(x.Events) != 1 || !x.Events[0].Removed {
 		t.Fatalf("watch returned %+v, err %v", x, err)
 	}
-	n.takeEvents(platform.KindMember, x.Events) // the node receives its own removal
+	n.mergeEvents(platform.KindMember, x.Events) // the node receives its own removal
 	for n.write(t.Context()) != nil {
 	}
 	if m, err := stored(t, n); err != nil || m.Phase != fleet.PhaseReady || !m.Newer(&fleet.Member{Incarnation: 1}) {
--- a/peer/platform.go
+++ b/peer/platform.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		x, err := n.read(ctx, k, at)
-		n.platformHeard(ctx, err)
+		n.setPlatformResult(ctx, err)
 		if errors.Is(err, platform.ErrGone) {
 			at = 0
 			continue
@@ -48,7 +48,7 @@
 			return
 		}
 		at = x.At
-		n.takeEvents(k, x.Events)
+		n.mergeEvents(k, x.Events)
 	}
 }
 
@@ -70,13 +70,13 @@
 	return relay || len(src) == 0 || n.State.Accepted() == nil
 }
 
-func (n *Node) platformHeard(ctx context.Context, err error) {
+func (n *Node) setPlatformResult(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	n.mu.Lock()
-	was := n.down
-	n.down = err != nil
+	was := n.platformDown
+	n.platformDown = err != nil
 	n.mu.Unlock()
 	switch {
 	case err != nil && !was:
@@ -90,10 +90,10 @@
 func (n *Node) PlatformDown() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.down
+	return n.platformDown
 }
 
-func (n *Node) takeEvents(k platform.Kind, es []platform.Event) {
+func (n *Node) mergeEvents(k platform.Kind, es []platform.Event) {
 	var c fleet.Change
 	for _, e := range es {
 		o := e.Object
@@ -115,7 +115,7 @@
 			c.Members = append(c.Members, m)
 		}
 	}
-	n.take(c, "platform")
+	n.mergeChange(c, "platform")
 }
 
 // publish announces the node's own record and writes it to the platform, when it
@@ -123,9 +123,9 @@
 func (n *Node) publish(ctx context.Context) {
 	b := newBackoff()
 	for ctx.Err() == nil {
-		n.tell(ctx)
+		n.announceSelf(ctx)
 		if err := n.write(ctx); err != nil {
-			n.platformHeard(ctx, err)
+			n.setPlatformResult(ctx, err)
 			if !pause(ctx, b) {
 				return
 			}
@@ -133,20 +133,20 @@
 		}
 		b.Reset()
 		select {
-		case <-n.announce:
-		case <-time.After(renewEvery + rand.N(renewEvery/10)):
+		case <-n.publishNow:
+		case <-time.After(renewInterval + rand.N(renewInterval/10)):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// tellMost is the number of peers that a node announces its own record to, so that
-// changes also spread while the platform is down.
-const tellMost = 2
+// maxAnnouncePeers is the maximum number of peers that a node announces its own
+// record to, so that changes also spread while the platform is down.
+const maxAnnouncePeers = 2
 
-func (n *Node) tell(ctx context.Context) {
+func (n *Node) announceSelf(ctx context.Context) {
 	_, src := n.sources()
-	for _, a := range src[:min(tellMost, len(src))] {
+	for _, a := range src[:min(maxAnnouncePeers, len(src))] {
 		if err := n.Client.Announce(ctx, a, fleet.Change{Members: []fleet.Member{n.Self()}}); err != nil && ctx.Err() == nil {
 			n.Log.Add(events.PeerDown, slog.String("peer", a.String()), slog.String("error", err.Error()))
 		}
@@ -162,7 +162,7 @@
 // replaced only if it does not belong to a newer incarnation.
 func (n *Node) write(ctx context.Context) error {
 	n.mu.Lock()
-	m, at := n.self, n.written
+	m, at := n.self, n.writtenRevision
 	n.mu.Unlock()
 	if m.Phase == fleet.PhaseLeft {
 		return nil
@@ -174,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	n.setWritten(o.Meta.Revision)
+	n.setWrittenRevision(o.Meta.Revision)
 	return nil
 }
 
@@ -185,10 +185,10 @@
 	return n.Platform.Update(ctx, platform.KindMember, string(m.ID), m, at)
 }
 
-func (n *Node) setWritten(r platform.Revision) {
+func (n *Node) setWrittenRevision(r platform.Revision) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.written = r
+	n.writtenRevision = r
 }
 
 // resolve reads the object back after a conflict or a lost response, and returns
@@ -196,18 +196,18 @@
 func (n *Node) resolve(ctx context.Context, m fleet.Member) error {
 	o, err := n.Platform.Get(ctx, platform.KindMember, string(m.ID))
 	if errors.Is(err, platform.ErrNotFound) {
-		n.setWritten(0)
+		n.setWrittenRevision(0)
 		return errRetry
 	}
 	if err != nil {
 		return err
 	}
-	var held fleet.Member
-	if err := json.Unmarshal(o.Spec, &held); err == nil && held.Incarnation > m.Incarnation {
+	var existing fleet.Member
+	if err := json.Unmarshal(o.Spec, &existing); err == nil && existing.Incarnation > m.Incarnation {
 		return nil // a newer incarnation at this address owns the object
 	}
-	n.setWritten(o.Meta.Revision)
-	if held == m {
+	n.setWrittenRevision(o.Meta.Revision)
+	if existing == m {
 		return nil
 	}
 	return errRetry
@@ -215,20 +215,20 @@
 
 var errRetry = errors.New("platform object changed during the write; retrying")
 
-// reap removes the objects of members that have been doubted for reapAfter; since
-// holds when each doubt was first seen. The delete is conditional, so it fails if
-// the member has written its object in the meantime.
-func (n *Node) reap(ctx context.Context, since map[fleet.MemberID]time.Time) {
+// reap removes the objects of members that have been doubted for reapAfter;
+// doubtedSince holds when each doubt was first seen. The delete is conditional,
+// so it fails if the member has written its object in the meantime.
+func (n *Node) reap(ctx context.Context, doubtedSince map[fleet.MemberID]time.Time) {
 	doubts := n.State.Doubted()
-	for id := range since {
+	for id := range doubtedSince {
 		if !doubts[id] {
-			delete(since, id)
+			delete(doubtedSince, id)
 		}
 	}
 	for id := range doubts {
-		t, ok := since[id]
+		t, ok := doubtedSince[id]
 		if !ok {
-			since[id] = time.Now()
+			doubtedSince[id] = time.Now()
 			continue
 		}
 		if time.Since(t) > reapAfter {
@@ -240,8 +240,8 @@
 func (n *Node) remove(ctx context.Context, id fleet.MemberID) {
 	m, ok := n.State.Member(id)
 	o, err := n.Platform.Get(ctx, platform.KindMember, string(id))
-	var held fleet.Member
-	if err != nil || !ok || json.Unmarshal(o.Spec, &held) != nil || held.Incarnation != m.Incarnation {
+	var existing fleet.Member
+	if err != nil || !ok || json.Unmarshal(o.Spec, &existing) != nil || existing.Incarnation != m.Incarnation {
 		return
 	}
 	if n.Platform.Delete(ctx, platform.KindMember, string(id), o.Meta.Revision) == nil {
--- a/peer/server.go
+++ b/peer/server.go
@@ -21,25 +21,25 @@
 const (
 	pathFleet    = "/fleet"
 	pathAnnounce = "/announce"
-	// maxFollow bounds how long a follow request may wait for a change.
-	maxFollow = 30 * time.Second
-	// settle is how long a response is delayed to include further changes that
-	// arrive shortly after the first.
-	settle = 50 * time.Millisecond
-	// maxAnnounce bounds the size of one announcement, in bytes.
-	maxAnnounce = 4 << 20
-	// callIdle is the idle timeout that detects the failure of a peer with
-	// requests in progress. callAlive is the keep-alive interval.
-	callIdle  = 6 * time.Second
-	callAlive = 2 * time.Second
-	// followIdle is the idle timeout that detects the failure of a relay; until
-	// then its followers receive no changes. followAlive is longer than callAlive
-	// because a relay of a large fleet has some hundred followers, and keep-alives
+	// maxFollowWait bounds how long a follow request may wait for a change.
+	maxFollowWait = 30 * time.Second
+	// changeBatchDelay is how long a response is delayed to include further
+	// changes that arrive shortly after the first.
+	changeBatchDelay = 50 * time.Millisecond
+	// maxAnnounceBytes bounds the size of one announcement, in bytes.
+	maxAnnounceBytes = 4 << 20
+	// callIdleTimeout is the idle timeout that detects the failure of a peer with
+	// requests in progress. callKeepAlive is the keep-alive interval.
+	callIdleTimeout = 6 * time.Second
+	callKeepAlive   = 2 * time.Second
+	// followIdleTimeout is the idle timeout that detects the failure of a relay;
+	// until then its followers receive no changes. followKeepAlive is longer than
+	// callKeepAlive because a relay of a large fleet has some hundred followers, and keep-alives
 	// to all of them every 2 s would be most of its control traffic.
-	followIdle    = 15 * time.Second
-	followAlive   = 5 * time.Second
-	peerHandshake = time.Second
-	peerStreams   = 4096
+	followIdleTimeout = 15 * time.Second
+	followKeepAlive   = 5 * time.Second
+	handshakeTimeout  = time.Second
+	maxPeerStreams    = 4096
 )
 
 // Server serves requests from peers.
@@ -77,7 +77,7 @@
 // serverConfig sets no keep-alive: the client sends keep-alives, because it knows
 // how quickly each of its connections has to detect a failure.
 func serverConfig() *quic.Config {
-	return &quic.Config{HandshakeIdleTimeout: peerHandshake, MaxIdleTimeout: followIdle, MaxIncomingStreams: peerStreams}
+	return &quic.Config{HandshakeIdleTimeout: handshakeTimeout, MaxIdleTimeout: followIdleTimeout, MaxIncomingStreams: maxPeerStreams}
 }
 
 // Run serves requests until Close is called.
@@ -109,14 +109,14 @@
 	rev, _ := strconv.ParseUint(q.Get("revision"), 10, 64)
 	have, _ := strconv.ParseUint(q.Get("have"), 10, 64)
 	wait, _ := time.ParseDuration(q.Get("wait"))
-	ctx, stop := context.WithTimeout(r.Context(), min(wait, maxFollow))
+	ctx, stop := context.WithTimeout(r.Context(), min(wait, maxFollowWait))
 	defer stop()
-	c := s.waitChange(ctx, epoch, rev, bundle.Version(have))
+	c := s.waitForChange(ctx, epoch, rev, bundle.Version(have))
 	s.Followed.Add(1)
 	s.pack.write(w, r, s.state, c)
 }
 
-func (s *Server) waitChange(ctx context.Context, epoch, rev uint64, have bundle.Version) fleet.Change {
+func (s *Server) waitForChange(ctx context.Context, epoch, rev uint64, have bundle.Version) fleet.Change {
 	for {
 		changed := s.state.Changed()
 		c := s.state.Since(epoch, rev, have)
@@ -125,7 +125,7 @@
 		}
 		select {
 		case <-changed:
-			time.Sleep(settle)
+			time.Sleep(changeBatchDelay)
 		case <-ctx.Done():
 			return c
 		}
@@ -134,7 +134,7 @@
 
 func (s *Server) serveAnnounce(w http.ResponseWriter, r *http.Request) {
 	var c fleet.Change
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnounce)).Decode(&c); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnounceBytes)).Decode(&c); err != nil {
 		http.Error(w, "announcement: "+err.Error(), http.StatusBadRequest)
 		return
 	}
