--- a/events/events_test.go
+++ b/events/events_test.go
@@ -17,7 +17,7 @@
 	"testing/synctest"
 )
 
-var row = regexp.MustCompile(`(?m)^\| (\d{4}) \| ([^|]+) \| (\w+) \|`)
+var eventRow = regexp.MustCompile(`(?m)^\| (\d{4}) \| ([^|]+) \| (\w+) \|`)
 
 func TestCataloguePageAndCodeAgree(t *testing.T) {
 	b, err := os.ReadFile("../docs/EVENTS.md")
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	page := map[string]bool{}
-	for _, m := range row.FindAllStringSubmatch(string(b), -1) {
+	for _, m := range eventRow.FindAllStringSubmatch(string(b), -1) {
 		page[fmt.Sprintf("%s %s %s", m[1], m[2], m[3])] = true
 	}
 	code := map[string]bool{}
@@ -44,9 +44,9 @@
 	}
 }
 
-// used returns the identifiers of this package that non-test code of other
-// packages uses.
-func used(t *testing.T) map[string]bool {
+// usedIdentifiers returns the identifiers of this package that non-test code of
+// other packages uses.
+func usedIdentifiers(t *testing.T) map[string]bool {
 	names := map[string]bool{}
 	err := filepath.WalkDir("..", func(p string, d fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(p, ".go") || strings.HasSuffix(p, "_test.go") || strings.HasPrefix(p, "../events/") {
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := used(t)
+	in := usedIdentifiers(t)
 	in["DecisionsLost"] = true // logged by this package itself
 	ast.Inspect(f, func(n ast.Node) bool {
 		v, ok := n.(*ast.ValueSpec)
@@ -94,7 +94,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var b bytes.Buffer
 		l := NewLog(slog.New(slog.NewTextHandler(&b, nil)))
-		for range ringSize + 5 {
+		for range queueSize + 5 {
 			l.Decide(Decision{ID: FlowOpened, Reason: ReasonFirst})
 		}
 		if l.Lost() != 5 {
@@ -103,7 +103,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		stop()
 		l.Run(ctx)
-		if n := strings.Count(b.String(), "event=1001"); n != ringSize {
+		if n := strings.Count(b.String(), "event=1001"); n != queueSize {
 			t.Errorf("%d lines written, want one per queued decision", n)
 		}
 	})
--- a/events/log.go
+++ b/events/log.go
@@ -12,19 +12,19 @@
 
 // Log writes events to a slog.Logger. A nil Log and the zero value discard them.
 type Log struct {
-	l    *slog.Logger
-	ring chan Decision
-	lost atomic.Uint64
+	l     *slog.Logger
+	queue chan Decision
+	lost  atomic.Uint64
 }
 
-// ringSize is the maximum number of queued decisions, about half a second of
+// queueSize is the maximum number of queued decisions, about half a second of
 // openings on a large balancer. If the queue is full, new decisions are dropped
 // and counted.
-const ringSize = 16_384
+const queueSize = 16_384
 
 // NewLog returns a Log that writes to l.
 func NewLog(l *slog.Logger) *Log {
-	return &Log{l: l, ring: make(chan Decision, ringSize)}
+	return &Log{l: l, queue: make(chan Decision, queueSize)}
 }
 
 // Add logs an event at once, with the message and level of its catalogue entry.
@@ -87,7 +87,7 @@
 		return
 	}
 	select {
-	case l.ring <- d:
+	case l.queue <- d:
 	default:
 		l.lost.Add(1)
 	}
@@ -108,15 +108,15 @@
 func (l *Log) Run(ctx context.Context) error {
 	t := time.NewTicker(lossInterval)
 	defer t.Stop()
-	var told uint64
+	var reported uint64
 	for {
 		select {
-		case d := <-l.ring:
+		case d := <-l.queue:
 			l.write(d)
 		case <-t.C:
-			if n := l.Lost(); n > told {
-				l.Add(DecisionsLost, slog.Uint64("lost", n-told))
-				told = n
+			if n := l.Lost(); n > reported {
+				l.Add(DecisionsLost, slog.Uint64("lost", n-reported))
+				reported = n
 			}
 		case <-ctx.Done():
 			l.drain()
@@ -128,7 +128,7 @@
 func (l *Log) drain() {
 	for {
 		select {
-		case d := <-l.ring:
+		case d := <-l.queue:
 			l.write(d)
 		default:
 			return
