--- a/explain/explain.go
+++ b/explain/explain.go
@@ -83,7 +83,7 @@
 	}
 	byTime := func(a, b Line) int { return a.Time.Compare(b.Time) }
 	slices.SortStableFunc(own, byTime)
-	from, to := own[0].Time.Add(-around), own[len(own)-1].Time.Add(around)
+	from, to := own[0].Time.Add(-contextWindow), own[len(own)-1].Time.Add(contextWindow)
 	for _, l := range ls {
 		if l.Caller == "" && nodes[l.Node] && l.Time.After(from) && l.Time.Before(to) {
 			own = append(own, l)
@@ -93,14 +93,14 @@
 	return own
 }
 
-// around is how long before the first and after the last line of a flow other
-// lines of the same processes are included. The requirements limit how long a
-// process may act on outdated state to a few seconds.
-const around = 2 * time.Second
+// contextWindow is how long before the first and after the last line of a flow
+// other lines of the same processes are included. The requirements limit how long
+// a process may act on outdated state to a few seconds.
+const contextWindow = 2 * time.Second
 
-// shown are the fields that String does not repeat as key=value: they are at the
-// start of the line, or the same in all lines.
-var shown = []string{"time", "level", "msg", "event", "node"}
+// headerFields are the fields that String does not repeat as key=value: those at
+// the start of the formatted line, and the level, which follows from the event.
+var headerFields = []string{"time", "level", "msg", "event", "node"}
 
 // String formats the line for display: time, node, event number and message, then
 // the other fields sorted by key.
@@ -109,7 +109,7 @@
 	fmt.Fprintf(&b, "%s  %-24s %d %s", l.Time.Format("15:04:05.000000"), l.Node, l.Event, l.Message)
 	keys := make([]string, 0, len(l.fields))
 	for k := range l.fields {
-		if !slices.Contains(shown, k) {
+		if !slices.Contains(headerFields, k) {
 			keys = append(keys, k)
 		}
 	}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const recorded = `collector 1: {"time":"2026-10-15T13:20:36.100Z","level":"INFO","msg":"opening given to an agent","event":1101,"node":"front-a-1","caller":"100.64.0.9:1079","address":"198.18.0.1:8080","peer":"10.1.0.24","count":1,"version":16}
+const recordedLog = `collector 1: {"time":"2026-10-15T13:20:36.100Z","level":"INFO","msg":"opening given to an agent","event":1101,"node":"front-a-1","caller":"100.64.0.9:1079","address":"198.18.0.1:8080","peer":"10.1.0.24","count":1,"version":16}
 {"time":"2026-10-15T13:20:36.160Z","level":"INFO","msg":"opening goes to the next agent","event":1102,"node":"front-a-1","caller":"100.64.0.9:1079","address":"198.18.0.1:8080","peer":"10.1.0.24","reason":"noAnswer","count":1,"version":16,"ageMs":60.1}
 {"time":"2026-10-15T13:20:36.170Z","level":"INFO","msg":"request under way","event":2201,"node":"side-b-1","caller":"100.64.0.9:1079","address":"198.18.0.1:8080","request":"7a-b","count":3,"version":16}
 {"time":"2026-10-15T13:20:35.900Z","level":"INFO","msg":"agent changed","event":3101,"node":"front-a-1","agent":"10.1.0.24","state":"ready","leaving":false,"cold":0,"life":8577596922004601999}
@@ -18,7 +18,7 @@
 // An engineer looks up a slow request by its id in the interleaved logs of many
 // processes. The result must include the related events and no others.
 func TestStoryOfARequest(t *testing.T) {
-	ls, err := Read(strings.NewReader(recorded))
+	ls, err := Read(strings.NewReader(recordedLog))
 	if err != nil || len(ls) != 6 {
 		t.Fatalf("read %d lines, err %v", len(ls), err)
 	}
