--- a/process/process.go
+++ b/process/process.go
@@ -75,8 +75,8 @@
 	metrics  *metrics.Metrics
 	ready    atomic.Bool
 
-	mu    sync.Mutex
-	state func() any
+	mu           sync.Mutex
+	programState func() any
 }
 
 // New opens the listeners of a process and joins its components; AddTo runs them.
@@ -131,7 +131,7 @@
 func (p *Process) SetState(f func() any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.state = f
+	p.programState = f
 }
 
 // AddTo adds the process's background tasks and servers to the group.
@@ -169,7 +169,7 @@
 	p.Scope.Gauge("platform_down").Update(metrics.Number(v.PlatformDown))
 	p.Scope.Gauge("decisions_lost").Update(float64(p.Log.Lost()))
 	p.mu.Lock()
-	f := p.state
+	f := p.programState
 	p.mu.Unlock()
 	if f != nil {
 		metrics.Gauges(p.Scope.SubScope(string(p.Node.Self().Role)), f())
@@ -243,7 +243,7 @@
 	}
 	s.Members, s.Opinions = p.State.Snapshot()
 	p.mu.Lock()
-	f := p.state
+	f := p.programState
 	p.mu.Unlock()
 	if f != nil {
 		s.Program = f()
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -17,9 +17,9 @@
 func newProcess(t *testing.T, log io.Writer) (*Process, keyring.Secret) {
 	t.Helper()
 	k := keyring.NewSecret(1)
-	any := netip.MustParseAddrPort("127.0.0.1:0")
+	anyPort := netip.MustParseAddrPort("127.0.0.1:0")
 	p, err := New(Options{
-		Zone: 1, Link: netip.MustParseAddrPort("127.0.0.1:7"), Peer: any, Operator: any,
+		Zone: 1, Link: netip.MustParseAddrPort("127.0.0.1:7"), Peer: anyPort, Operator: anyPort,
 		Platform: "http://127.0.0.1:1", Keys: []string{k.Reveal()}, Token: "platform-token",
 	}, fleet.RoleBalancer, 0, slog.New(slog.NewJSONHandler(log, nil)), nil)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return p, k
 }
 
-func page(p *Process, path string) *httptest.ResponseRecorder {
+func get(p *Process, path string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	p.handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
 	return w
@@ -44,20 +44,20 @@
 			Load      map[string]int `json:"load"`
 		}{7, true, map[string]int{"slots": 5}}
 	})
-	if c := page(p, "/readyz").Code; c != http.StatusServiceUnavailable {
+	if c := get(p, "/readyz").Code; c != http.StatusServiceUnavailable {
 		t.Errorf("/readyz before SetReady: status %d", c)
 	}
 	p.SetReady(true)
-	if c := page(p, "/readyz").Code; c != http.StatusOK {
+	if c := get(p, "/readyz").Code; c != http.StatusOK {
 		t.Errorf("/readyz after SetReady: status %d", c)
 	}
 	var s Status
-	if err := json.NewDecoder(page(p, "/state").Body).Decode(&s); err != nil || len(s.Members) != 1 || !s.Ready {
+	if err := json.NewDecoder(get(p, "/state").Body).Decode(&s); err != nil || len(s.Members) != 1 || !s.Ready {
 		t.Errorf("/state returned %+v, err %v", s, err)
 	}
 	p.setGauges()
 	p.metrics.Close() // flushes the gauges to the reporter
-	m := page(p, "/metrics").Body.String()
+	m := get(p, "/metrics").Body.String()
 	for _, want := range []string{"pomeloway_ready 1", "pomeloway_balancer_forwarded 7", "pomeloway_balancer_leaving 1", "pomeloway_balancer_load_slots 5"} {
 		if !strings.Contains(m, want) {
 			t.Errorf("metrics do not contain %q:\n%s", want, m)
@@ -74,8 +74,8 @@
 	_, secret, _ := strings.Cut(k.Reveal(), ":")
 	_, err := keyring.Parse([]string{k.Reveal() + "x"})
 	for name, text := range map[string]string{
-		"state": page(p, "/state").Body.String(), "version": page(p, "/version").Body.String(),
-		"metrics": page(p, "/metrics").Body.String(), "log": log.String(), "error": err.Error(),
+		"state": get(p, "/state").Body.String(), "version": get(p, "/version").Body.String(),
+		"metrics": get(p, "/metrics").Body.String(), "log": log.String(), "error": err.Error(),
 	} {
 		if strings.Contains(text, secret) || strings.Contains(text, "platform-token") {
 			t.Errorf("%s contains a secret: %s", name, text)
