--- a/operator/accept.go
+++ b/operator/accept.go
@@ -17,8 +17,8 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// currentName is the platform object that holds the bundle in force.
-const currentName = "current"
+// currentBundle is the platform object that holds the bundle in force.
+const currentBundle = "current"
 
 // Errors of Accept.
 var (
@@ -42,13 +42,13 @@
 		return fmt.Sprintf("%v: version %d needs a parent bundle, but no bundle has been accepted yet", ErrNotAccepted, c.Mine.Version)
 	}
 	return fmt.Sprintf("%v: version %d by %s is in force (digest %.12s); yours is version %d with parent %.12s",
-		ErrNotAccepted, c.Current.Version, orNobody(c.Current.Author), c.Current.Digest, c.Mine.Version, c.Mine.Parent)
+		ErrNotAccepted, c.Current.Version, orUnnamed(c.Current.Author), c.Current.Digest, c.Mine.Version, c.Mine.Parent)
 }
 
 // Unwrap returns ErrNotAccepted.
 func (c *Conflict) Unwrap() error { return ErrNotAccepted }
 
-func orNobody(s string) string {
+func orUnnamed(s string) string {
 	if s == "" {
 		return "an unnamed operator"
 	}
@@ -69,32 +69,32 @@
 	Verifier *bundle.Verifier
 }
 
-// held is the accepted bundle and the platform revision at which it was read. It
-// is the zero value if no bundle was ever accepted.
-type held struct {
+// currentObject is the accepted bundle and the platform revision at which it was
+// read. It is the zero value if no bundle was ever accepted.
+type currentObject struct {
 	*bundle.Accepted
 	at platform.Revision
 }
 
 // Current returns the accepted bundle, or nil if none was ever accepted.
 func (d *Desk) Current(ctx context.Context) (*bundle.Accepted, error) {
-	h, err := d.read(ctx)
+	h, err := d.readCurrent(ctx)
 	return h.Accepted, err
 }
 
-func (d *Desk) read(ctx context.Context) (held, error) {
-	o, err := d.Store.Get(ctx, platform.KindBundle, currentName)
+func (d *Desk) readCurrent(ctx context.Context) (currentObject, error) {
+	o, err := d.Store.Get(ctx, platform.KindBundle, currentBundle)
 	if errors.Is(err, platform.ErrNotFound) {
-		return held{}, nil
+		return currentObject{}, nil
 	}
 	if err != nil {
-		return held{}, err
+		return currentObject{}, err
 	}
-	a, err := d.open(o)
-	return held{a, o.Meta.Revision}, err
+	a, err := d.verifyObject(o)
+	return currentObject{a, o.Meta.Revision}, err
 }
 
-func (d *Desk) open(o platform.Object) (*bundle.Accepted, error) {
+func (d *Desk) verifyObject(o platform.Object) (*bundle.Accepted, error) {
 	s, err := bundle.DecodeSigned(o.Spec)
 	if err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 
 // Sign signs the text as the next version, with the accepted bundle as its parent.
 func (d *Desk) Sign(ctx context.Context, text []byte, author string, key minisign.PrivateKey) (bundle.Signed, error) {
-	h, err := d.read(ctx)
+	h, err := d.readCurrent(ctx)
 	if err != nil {
 		return bundle.Signed{}, err
 	}
@@ -120,17 +120,17 @@
 }
 
 const (
-	// acceptTries bounds the attempts to accept a bundle. Each reads the accepted
-	// bundle first, and so detects a write whose response was lost.
-	acceptTries = 10
-	// acceptFirst is the delay before the second attempt. Further delays grow
-	// exponentially, with jitter.
-	acceptFirst = 50 * time.Millisecond
+	// maxAcceptAttempts bounds the attempts to accept a bundle. Each reads the
+	// accepted bundle first, and so detects a write whose response was lost.
+	maxAcceptAttempts = 10
+	// initialAcceptDelay is the delay before the second attempt. Further delays
+	// grow exponentially, with jitter.
+	initialAcceptDelay = 50 * time.Millisecond
 )
 
 func acceptBackoff() backoff.BackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = acceptFirst
+	b.InitialInterval = initialAcceptDelay
 	return b
 }
 
@@ -149,23 +149,23 @@
 	}
 	wrote := false
 	op := func() (*bundle.Accepted, error) {
-		h, err := d.read(ctx)
+		h, err := d.readCurrent(ctx)
 		if err != nil {
 			return nil, err
 		}
-		if done, err := d.settled(ctx, h, mine, wrote); done || err != nil {
+		if done, err := d.isAccepted(ctx, h, mine, wrote); done || err != nil {
 			return mine, err
 		}
 		if err := d.keepHistory(ctx, h); err != nil {
 			return nil, err
 		}
 		wrote = true
-		if err := d.write(ctx, h, s); err != nil {
+		if err := d.replaceCurrent(ctx, h, s); err != nil {
 			return nil, err
 		}
 		return mine, nil
 	}
-	a, err := backoff.Retry(ctx, op, backoff.WithBackOff(acceptBackoff()), backoff.WithMaxTries(acceptTries))
+	a, err := backoff.Retry(ctx, op, backoff.WithBackOff(acceptBackoff()), backoff.WithMaxTries(maxAcceptAttempts))
 	switch {
 	case err == nil:
 		d.prune(ctx, a.Version)
@@ -178,9 +178,9 @@
 	return nil, fmt.Errorf("%w: %w", ErrNotAccepted, err)
 }
 
-// settled reports whether the bundle has been accepted already. It returns a
+// isAccepted reports whether the bundle has been accepted already. It returns a
 // permanent Conflict error if it can no longer be accepted.
-func (d *Desk) settled(ctx context.Context, h held, mine *bundle.Accepted, wrote bool) (bool, error) {
+func (d *Desk) isAccepted(ctx context.Context, h currentObject, mine *bundle.Accepted, wrote bool) (bool, error) {
 	cur := h.Accepted
 	switch {
 	case cur == nil && mine.Version == 1 && mine.Parent == "":
@@ -192,19 +192,19 @@
 	case cur.Version+1 == mine.Version && cur.Digest == mine.Parent:
 		return false, nil
 	case wrote && cur.Version > mine.Version:
-		return d.inHistory(ctx, mine)
+		return d.isInHistory(ctx, mine)
 	}
 	return false, backoff.Permanent(&Conflict{Current: cur, Mine: mine.Stamp})
 }
 
-// inHistory reports whether the bundle was accepted and has since been replaced by
-// a later version. This happens when the response to its own write was lost.
-func (d *Desk) inHistory(ctx context.Context, mine *bundle.Accepted) (bool, error) {
+// isInHistory reports whether the bundle was accepted and has since been replaced
+// by a later version. This happens when the response to its own write was lost.
+func (d *Desk) isInHistory(ctx context.Context, mine *bundle.Accepted) (bool, error) {
 	o, err := d.Store.Get(ctx, platform.KindHistory, historyName(mine.Version))
 	if err != nil {
 		return false, err
 	}
-	a, err := d.open(o)
+	a, err := d.verifyObject(o)
 	if err != nil {
 		return false, err
 	}
@@ -218,7 +218,7 @@
 
 // keepHistory stores the accepted bundle in the history before it is replaced, so
 // that no version is lost if the operator's command is interrupted.
-func (d *Desk) keepHistory(ctx context.Context, h held) error {
+func (d *Desk) keepHistory(ctx context.Context, h currentObject) error {
 	if h.Accepted == nil {
 		return nil
 	}
@@ -230,27 +230,29 @@
 }
 
 const (
-	// historyKept is the number of earlier versions that are kept: more than one
-	// day of a large fleet, which has 830 changes. That is about 210 MB of bundles.
-	historyKept = 1000
-	// pruneAgain is the number of still older versions that are also removed, in
+	// maxHistoryVersions is the number of earlier versions that are kept: more than
+	// one day of a large fleet, which has 830 changes. That is about 210 MB of
+	// bundles.
+	maxHistoryVersions = 1000
+	// extraPrunes is the number of still older versions that are also removed, in
 	// case an earlier command failed to remove them.
-	pruneAgain = 3
+	extraPrunes = 3
 	// pruneTimeout bounds the time that pruning adds to Accept.
 	pruneTimeout = 2 * time.Second
 )
 
-// prune removes the version that exceeds historyKept after version v was accepted,
-// and the pruneAgain versions before it. Errors are ignored: the new bundle is in
-// force already, and the next acceptance tries to remove the same versions again.
+// prune removes the version that exceeds maxHistoryVersions after version v was
+// accepted, and the extraPrunes versions before it. Errors are ignored: the new
+// bundle is in force already, and the next acceptance tries to remove the same
+// versions again.
 func (d *Desk) prune(ctx context.Context, v bundle.Version) {
 	ctx, stop := context.WithTimeout(ctx, pruneTimeout)
 	defer stop()
-	for i := range bundle.Version(1 + pruneAgain) {
-		if v <= historyKept+1+i {
+	for i := range bundle.Version(1 + extraPrunes) {
+		if v <= maxHistoryVersions+1+i {
 			return
 		}
-		name := historyName(v - 1 - historyKept - i)
+		name := historyName(v - 1 - maxHistoryVersions - i)
 		o, err := d.Store.Get(ctx, platform.KindHistory, name)
 		if err != nil {
 			continue
@@ -259,14 +261,14 @@
 	}
 }
 
-// write replaces the accepted bundle on the condition that it is still the one in
-// h. If the condition fails, the caller retries from reading the accepted bundle.
-func (d *Desk) write(ctx context.Context, h held, s bundle.Signed) error {
+// replaceCurrent replaces the accepted bundle on the condition that it is still
+// the one in h. If the condition fails, the caller reads it again and retries.
+func (d *Desk) replaceCurrent(ctx context.Context, h currentObject, s bundle.Signed) error {
 	var err error
 	if h.Accepted == nil {
-		_, err = d.Store.Create(ctx, platform.KindBundle, currentName, s)
+		_, err = d.Store.Create(ctx, platform.KindBundle, currentBundle, s)
 	} else {
-		_, err = d.Store.Update(ctx, platform.KindBundle, currentName, s, h.at)
+		_, err = d.Store.Update(ctx, platform.KindBundle, currentBundle, s, h.at)
 	}
 	return err
 }
@@ -284,5 +286,5 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "version %d", v)
 	}
-	return d.open(o)
+	return d.verifyObject(o)
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -32,13 +32,13 @@
 currentKey: 1
 `
 
-type bench struct {
-	store *standin.Platform
-	key   minisign.PrivateKey
-	desk  *Desk
+type fixture struct {
+	store  *standin.Platform
+	key    minisign.PrivateKey
+	client *Desk
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	key, v, err := bundle.NewOperator()
 	if err != nil {
@@ -46,16 +46,16 @@
 	}
 	p := &standin.Platform{}
 	c := &platform.Client{URL: "http://platform", HTTP: &http.Client{Transport: standin.Wire{Handler: p}}}
-	return &bench{store: p, key: key, desk: &Desk{Store: c, Verifier: v}}
+	return &fixture{store: p, key: key, client: &Desk{Store: c, Verifier: v}}
 }
 
-func (b *bench) accept(t *testing.T, text string) *bundle.Accepted {
+func (b *fixture) accept(t *testing.T, text string) *bundle.Accepted {
 	t.Helper()
-	s, err := b.desk.Sign(t.Context(), []byte(text), "neema", b.key)
+	s, err := b.client.Sign(t.Context(), []byte(text), "neema", b.key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := b.desk.Accept(t.Context(), s)
+	a, err := b.client.Accept(t.Context(), s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,19 +66,19 @@
 // get an error that names the author of the accepted bundle; otherwise both
 // operators would assume that theirs is in force.
 func TestSecondOfTwoBundlesOnOneParentIsToldWhose(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.accept(t, text)
-	mine, _ := b.desk.Sign(t.Context(), []byte("# Mine.\n"+text), "juma", b.key)
-	theirs, _ := b.desk.Sign(t.Context(), []byte("# Theirs.\n"+text), "neema", b.key)
-	if _, err := b.desk.Accept(t.Context(), theirs); err != nil {
+	mine, _ := b.client.Sign(t.Context(), []byte("# Mine.\n"+text), "juma", b.key)
+	theirs, _ := b.client.Sign(t.Context(), []byte("# Theirs.\n"+text), "neema", b.key)
+	if _, err := b.client.Accept(t.Context(), theirs); err != nil {
 		t.Fatal(err)
 	}
-	_, err := b.desk.Accept(t.Context(), mine)
+	_, err := b.client.Accept(t.Context(), mine)
 	var c *Conflict
 	if !errors.As(err, &c) || c.Current.Author != "neema" || !errors.Is(err, ErrNotAccepted) {
 		t.Errorf("err = %v, want a conflict with the bundle of neema", err)
 	}
-	if again, err := b.desk.Accept(t.Context(), theirs); err != nil || again.Version != 2 {
+	if again, err := b.client.Accept(t.Context(), theirs); err != nil || again.Version != 2 {
 		t.Errorf("accepting the bundle in force again: %v", err)
 	}
 }
@@ -86,7 +86,7 @@
 // The platform applies a write but its response is lost. Accept must not report a
 // failure and must not create a second version.
 func TestLostAnswersAreReadBack(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	for lost := range 4 {
 		b.store.Set(standin.Faults{LoseAnswers: lost})
 		if a := b.accept(t, fmt.Sprintf("# %d\n%s", lost, text)); a.Version != bundle.Version(lost+1) {
@@ -94,7 +94,7 @@
 		}
 	}
 	for v := range bundle.Version(4) {
-		if a, err := b.desk.History(t.Context(), v+1); err != nil || a.Version != v+1 {
+		if a, err := b.client.History(t.Context(), v+1); err != nil || a.Version != v+1 {
 			t.Errorf("history returned no or another version %d, err %v", v+1, err)
 		}
 	}
@@ -104,32 +104,32 @@
 // from the history, it grew by 175 MB a day on the platform. The latest versions
 // must be kept and older ones removed, including one whose removal failed before.
 func TestHistoryKeepsTheLatestVersions(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	// The history starts almost full. All its entries hold the same bundle, since
 	// only their names matter here.
-	at := bundle.Version(historyKept + 10)
+	at := bundle.Version(maxHistoryVersions + 10)
 	last, err := bundle.Sign([]byte(text), bundle.Stamp{Version: at}, b.key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for v := bundle.Version(1); v < at; v++ {
-		if _, err := b.desk.Store.Create(t.Context(), platform.KindHistory, historyName(v), last); err != nil {
+		if _, err := b.client.Store.Create(t.Context(), platform.KindHistory, historyName(v), last); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := b.desk.Store.Create(t.Context(), platform.KindBundle, currentName, last); err != nil {
+	if _, err := b.client.Store.Create(t.Context(), platform.KindBundle, currentBundle, last); err != nil {
 		t.Fatal(err)
 	}
 	kept := func(v bundle.Version) bool {
-		_, err := b.desk.Store.Get(t.Context(), platform.KindHistory, historyName(v))
+		_, err := b.client.Store.Get(t.Context(), platform.KindHistory, historyName(v))
 		return err == nil
 	}
 	b.accept(t, "# One more.\n"+text)
 	b.store.Set(standin.Faults{Outage: true})
-	b.desk.prune(t.Context(), at+2)
+	b.client.prune(t.Context(), at+2)
 	b.store.Set(standin.Faults{})
 	b.accept(t, "# Two more.\n"+text)
-	for v, want := range map[bundle.Version]bool{at - 1: true, at + 2 - historyKept: true, at + 1 - historyKept: false, at - historyKept: false, at - 1 - historyKept: false} {
+	for v, want := range map[bundle.Version]bool{at - 1: true, at + 2 - maxHistoryVersions: true, at + 1 - maxHistoryVersions: false, at - maxHistoryVersions: false, at - 1 - maxHistoryVersions: false} {
 		if kept(v) != want {
 			t.Errorf("version %d of %d in the history: %t", v, at+2, kept(v))
 		}
@@ -139,12 +139,12 @@
 // While the platform is down, Accept must report that the bundle was certainly not
 // accepted, because no write was sent.
 func TestOutageIsNotAccepted(t *testing.T) {
-	b := newBench(t)
-	s, _ := b.desk.Sign(t.Context(), []byte(text), "neema", b.key)
+	b := newFixture(t)
+	s, _ := b.client.Sign(t.Context(), []byte(text), "neema", b.key)
 	b.store.Set(standin.Faults{Outage: true})
 	ctx, stop := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer stop()
-	if _, err := b.desk.Accept(ctx, s); !errors.Is(err, ErrNotAccepted) || errors.Is(err, ErrUnknown) {
+	if _, err := b.client.Accept(ctx, s); !errors.Is(err, ErrNotAccepted) || errors.Is(err, ErrUnknown) {
 		t.Errorf("err = %v, want ErrNotAccepted only", err)
 	}
 }
@@ -152,26 +152,26 @@
 // Several operators take availability zones out at the same time. Each change must
 // be applied on top of the others, and comments in the bundle must be preserved.
 func TestZoneMovesOnTopOfOthersBundles(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.accept(t, text)
 	var w sync.WaitGroup
 	for i := range 4 {
 		w.Go(func() {
 			zone := bundle.Name(fmt.Sprintf("dar-%d", i%2+1))
-			if _, err := b.desk.SetZone(t.Context(), zone, bundle.ZoneStateOut, "juma", b.key); err != nil {
+			if _, err := b.client.SetZone(t.Context(), zone, bundle.ZoneStateOut, "juma", b.key); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 	w.Wait()
-	a, err := b.desk.Current(t.Context())
+	a, err := b.client.Current(t.Context())
 	if err != nil || !a.Bundle.ZoneOut(1) || !a.Bundle.ZoneOut(2) || a.Version != 3 {
 		t.Fatalf("version %d, %v:\n%s", a.Version, err, a.Signed.Text)
 	}
 	if !strings.Contains(a.Signed.Text, "# the old hall") {
 		t.Errorf("a comment was removed from the bundle:\n%s", a.Signed.Text)
 	}
-	if _, err := b.desk.SetZone(t.Context(), "dar-9", bundle.ZoneStateOut, "juma", b.key); !errors.Is(err, ErrNotAccepted) || !strings.Contains(err.Error(), "dar-1, dar-2") {
+	if _, err := b.client.SetZone(t.Context(), "dar-9", bundle.ZoneStateOut, "juma", b.key); !errors.Is(err, ErrNotAccepted) || !strings.Contains(err.Error(), "dar-1, dar-2") {
 		t.Errorf("SetZone with an unknown zone: %v", err)
 	}
 }
@@ -189,9 +189,10 @@
 	ok     bool
 }
 
-// line models the accepted bundle as a register. A read returns the digest in the
-// register; an accept replaces it if the register holds the bundle's parent.
-var line = porcupine.Model{
+// acceptedBundleModel models the accepted bundle as a register. A read returns the
+// digest in the register; an accept replaces it if the register holds the
+// bundle's parent.
+var acceptedBundleModel = porcupine.Model{
 	Init: func() any { return bundle.Digest("") },
 	Step: func(state, input, output any) (bool, any) {
 		cur, in, out := state.(bundle.Digest), input.(acceptIn), output.(acceptOut)
@@ -213,10 +214,10 @@
 	conflicts := 0
 	for seed := range uint64(raceRuns(t)) {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBench(t)
+			b := newFixture(t)
 			first := b.accept(t, text)
-			ops := race(t, b, seed)
-			model := line
+			ops := runRace(t, b, seed)
+			model := acceptedBundleModel
 			model.Init = func() any { return first.Digest }
 			if !porcupine.CheckOperations(model, ops) {
 				t.Fatalf("seed %d: results are not linearizable: %+v", seed, ops)
@@ -242,12 +243,12 @@
 	return n
 }
 
-func race(t *testing.T, b *bench, seed uint64) []porcupine.Operation {
+func runRace(t *testing.T, b *fixture, seed uint64) []porcupine.Operation {
 	var mu sync.Mutex
 	var ops []porcupine.Operation
 	var w sync.WaitGroup
 	start := time.Now()
-	think := func(r *rand.Rand) { time.Sleep(time.Duration(r.IntN(40)) * time.Millisecond) }
+	pause := func(r *rand.Rand) { time.Sleep(time.Duration(r.IntN(40)) * time.Millisecond) }
 	for who := range 4 {
 		w.Go(func() {
 			r := rand.New(rand.NewPCG(seed, uint64(who)))
@@ -255,21 +256,21 @@
 				if r.IntN(3) == 0 {
 					b.store.Set(standin.Faults{LoseAnswers: 1})
 				}
-				s, err := b.desk.Sign(t.Context(), fmt.Appendf(nil, "# %d-%d-%d\n%s", seed, who, i, text), "op", b.key)
+				s, err := b.client.Sign(t.Context(), fmt.Appendf(nil, "# %d-%d-%d\n%s", seed, who, i, text), "op", b.key)
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				m, _ := b.desk.Verifier.Verify(s)
-				think(r)
+				m, _ := b.client.Verifier.Verify(s)
+				pause(r)
 				call := time.Since(start)
-				_, err = b.desk.Accept(t.Context(), s)
+				_, err = b.client.Accept(t.Context(), s)
 				op := porcupine.Operation{ClientId: who, Call: int64(call), Return: int64(time.Since(start)),
 					Input: acceptIn{digest: m.Digest, parent: m.Parent}, Output: acceptOut{ok: err == nil}}
 				if err != nil && !errors.Is(err, ErrNotAccepted) {
 					t.Errorf("seed %d: %v", seed, err)
 				}
-				cur, cerr := b.desk.Current(t.Context())
+				cur, cerr := b.client.Current(t.Context())
 				if cerr != nil {
 					t.Error(cerr)
 					return
@@ -290,18 +291,18 @@
 // first. SetZone, which checks only its own zone again, must never fail. The
 // counts are those in docs/MEASURES.md.
 func TestZoneMovesAreNotRefusedForOthersBundles(t *testing.T) {
-	type mover func(*Desk, bundle.Name, bundle.ZoneState, minisign.PrivateKey) error
-	once := func(d *Desk, z bundle.Name, to bundle.ZoneState, k minisign.PrivateKey) error {
+	type zoneSetter func(*Desk, bundle.Name, bundle.ZoneState, minisign.PrivateKey) error
+	withoutRecheck := func(d *Desk, z bundle.Name, to bundle.ZoneState, k minisign.PrivateKey) error {
 		_, err := d.setZoneOnce(context.Background(), z, to, "op", k)
 		return err
 	}
-	again := func(d *Desk, z bundle.Name, to bundle.ZoneState, k minisign.PrivateKey) error {
+	withRecheck := func(d *Desk, z bundle.Name, to bundle.ZoneState, k minisign.PrivateKey) error {
 		_, err := d.SetZone(context.Background(), z, to, "op", k)
 		return err
 	}
-	refused := func(move mover) (n int) {
+	countRejected := func(move zoneSetter) (n int) {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBench(t)
+			b := newFixture(t)
 			b.accept(t, text)
 			b.store.Set(standin.Faults{Delay: 5 * time.Millisecond})
 			var mu sync.Mutex
@@ -312,7 +313,7 @@
 					for i := range 25 {
 						time.Sleep(time.Duration(r.IntN(100)) * time.Millisecond)
 						to := []bundle.ZoneState{bundle.ZoneStateOut, bundle.ZoneStateIn}[i%2]
-						if err := move(b.desk, bundle.Name(fmt.Sprintf("dar-%d", who%2+1)), to, b.key); err != nil {
+						if err := move(b.client, bundle.Name(fmt.Sprintf("dar-%d", who%2+1)), to, b.key); err != nil {
 							mu.Lock()
 							n++
 							mu.Unlock()
@@ -324,7 +325,7 @@
 		})
 		return n
 	}
-	plain, validated := refused(once), refused(again)
+	plain, validated := countRejected(withoutRecheck), countRejected(withRecheck)
 	t.Logf("of 100 concurrent zone changes rejected: %d without and %d with a second check of the zone", plain, validated)
 	if validated > 0 || plain == 0 {
 		t.Errorf("rejected without and with a second check: %d and %d, want some and none", plain, validated)
--- a/operator/status.go
+++ b/operator/status.go
@@ -34,10 +34,10 @@
 }
 
 const (
-	// askAtOnce bounds the number of concurrent calls.
-	askAtOnce = 32
-	// askTimeout bounds one call to a member.
-	askTimeout = 2 * time.Second
+	// maxConcurrentQueries bounds the number of concurrent calls.
+	maxConcurrentQueries = 32
+	// queryTimeout bounds one call to a member.
+	queryTimeout = 2 * time.Second
 )
 
 // Members returns the members that are registered on the platform.
@@ -69,12 +69,12 @@
 // Ask queries all members and returns a row for each, ordered by id.
 func (s *Survey) Ask(ctx context.Context, ms []fleet.Member) []Row {
 	rows := make([]Row, len(ms))
-	slots := make(chan struct{}, askAtOnce)
+	slots := make(chan struct{}, maxConcurrentQueries)
 	var w sync.WaitGroup
 	for i, m := range ms {
 		slots <- struct{}{}
 		w.Go(func() {
-			rows[i] = s.askOne(ctx, m)
+			rows[i] = s.queryMember(ctx, m)
 			<-slots
 		})
 	}
@@ -83,7 +83,7 @@
 	return rows
 }
 
-func (s *Survey) askOne(ctx context.Context, m fleet.Member) Row {
+func (s *Survey) queryMember(ctx context.Context, m fleet.Member) Row {
 	var v process.Version
 	if err := s.get(ctx, "http://"+m.Operator+"/version", &v); err != nil {
 		return Row{Member: m, Error: err.Error()}
@@ -92,7 +92,7 @@
 }
 
 func (s *Survey) get(ctx context.Context, url string, v any) error {
-	ctx, stop := context.WithTimeout(ctx, askTimeout)
+	ctx, stop := context.WithTimeout(ctx, queryTimeout)
 	defer stop()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/operator/zone.go
+++ b/operator/zone.go
@@ -14,9 +14,9 @@
 	"pomeloway.example/pomeloway/bundle"
 )
 
-// zoneTries bounds the attempts of a zone change that conflicts with other
+// maxZoneAttempts bounds the attempts of a zone change that conflicts with other
 // operators' bundles.
-const zoneTries = 20
+const maxZoneAttempts = 20
 
 // SetZone takes an availability zone out or back in.
 //
@@ -28,7 +28,7 @@
 // Predicative Scheduling, ETH report 53, 1983); docs/DESIGN.md has the measurement.
 func (d *Desk) SetZone(ctx context.Context, zone bundle.Name, to bundle.ZoneState, author string, key minisign.PrivateKey) (*bundle.Accepted, error) {
 	var last error
-	for range zoneTries {
+	for range maxZoneAttempts {
 		a, err := d.setZoneOnce(ctx, zone, to, author, key)
 		var c *Conflict
 		if !errors.As(err, &c) {
