--- a/operator/status.go
+++ b/operator/status.go
@@ -66,7 +66,7 @@
 	return slices.DeleteFunc(v.Members, func(m fleet.Member) bool { return m.Phase == fleet.PhaseLeft }), nil
 }
 
-// Ask queries all members and returns a row for each, ordered by id.
+// Ask queries all members and returns the status of each, ordered by id.
 func (s *Survey) Ask(ctx context.Context, ms []fleet.Member) []Row {
 	rows := make([]Row, len(ms))
 	slots := make(chan struct{}, maxConcurrentQueries)
@@ -110,8 +110,8 @@
 	return eris.Wrap(json.NewDecoder(a.Body).Decode(v), "status")
 }
 
-// Lagging returns the rows of members that have a version below v in force. Those
-// that were not reached have version 0.
+// Lagging returns the members that have a version below v in force, including
+// those that were not reached: their version is 0.
 func Lagging(rows []Row, v bundle.Version) []Row {
 	var out []Row
 	for _, r := range rows {
