--- a/operator/accept.go
+++ b/operator/accept.go
@@ -179,7 +179,7 @@
 }
 
 // isAccepted reports whether the bundle has been accepted already. It returns a
-// Conflict, marked as permanent, if it can no longer be accepted.
+// ConflictError, marked as permanent, if it can no longer be accepted.
 func (d *Desk) isAccepted(ctx context.Context, h currentObject, mine *bundle.Accepted, wrote bool) (bool, error) {
 	cur := h.Accepted
 	switch {
--- a/peer/platform.go
+++ b/peer/platform.go
@@ -119,7 +119,7 @@
 }
 
 // publish announces the node's own record and writes it to the platform, when it
-// changes and about every renewEvery.
+// changes and about every renewInterval.
 func (n *Node) publish(ctx context.Context) {
 	b := newBackoff()
 	for ctx.Err() == nil {
--- a/peer/server.go
+++ b/peer/server.go
@@ -34,8 +34,9 @@
 	callKeepAlive   = 2 * time.Second
 	// followIdleTimeout is the idle timeout that detects the failure of a relay;
 	// until then its followers receive no changes. followKeepAlive is longer than
-	// callKeepAlive because a relay of a large fleet has some hundred followers, and keep-alives
-	// to all of them every 2 s would be most of its control traffic.
+	// callKeepAlive because a relay of a large fleet has some hundred followers,
+	// and keep-alives to all of them every 2 s would be most of its control
+	// traffic.
 	followIdleTimeout = 15 * time.Second
 	followKeepAlive   = 5 * time.Second
 	handshakeTimeout  = time.Second
