--- a/operator/status.go
+++ b/operator/status.go
@@ -17,7 +17,8 @@
 	"pomeloway.example/pomeloway/process"
 )
 
-// Row is what one member says of itself.
+// Row is the status of one member. Reached is false if the member did not respond;
+// Error then holds the reason.
 type Row struct {
 	Member  fleet.Member   `json:"member"`
 	Reached bool           `json:"reached"`
@@ -26,18 +27,20 @@
 	Error   string         `json:"error,omitempty"`
 }
 
-// Survey asks members which bundle is in force there.
+// Survey queries members for the version of the bundle that they have in force.
+// HTTP may be nil.
 type Survey struct {
 	HTTP *http.Client
 }
 
 const (
-	// askAtOnce bounds the calls that run together.
-	askAtOnce  = 32
-	askTimeout = 2 * time.Second
+	// maxConcurrentQueries bounds the number of concurrent calls.
+	maxConcurrentQueries = 32
+	// queryTimeout bounds one call to a member.
+	queryTimeout = 2 * time.Second
 )
 
-// Members reads the members from the platform.
+// Members returns the members that are registered on the platform.
 func Members(ctx context.Context, c *platform.Client) ([]fleet.Member, error) {
 	l, err := c.List(ctx, platform.KindMember)
 	if err != nil {
@@ -53,7 +56,8 @@
 	return ms, nil
 }
 
-// MembersFrom reads the members from one process, for when the platform is down.
+// MembersFrom returns the members known to one process, given by the address of its
+// operator endpoints. It is used while the platform is down.
 func (s *Survey) MembersFrom(ctx context.Context, operator string) ([]fleet.Member, error) {
 	var v process.Status
 	if err := s.get(ctx, "http://"+operator+"/state", &v); err != nil {
@@ -62,15 +66,15 @@
 	return slices.DeleteFunc(v.Members, func(m fleet.Member) bool { return m.Phase == fleet.PhaseLeft }), nil
 }
 
-// Ask returns a row for each member, ordered by id.
+// Ask queries all members and returns the status of each, ordered by id.
 func (s *Survey) Ask(ctx context.Context, ms []fleet.Member) []Row {
 	rows := make([]Row, len(ms))
-	slots := make(chan struct{}, askAtOnce)
+	slots := make(chan struct{}, maxConcurrentQueries)
 	var w sync.WaitGroup
 	for i, m := range ms {
 		slots <- struct{}{}
 		w.Go(func() {
-			rows[i] = s.askOne(ctx, m)
+			rows[i] = s.queryMember(ctx, m)
 			<-slots
 		})
 	}
@@ -79,7 +83,7 @@
 	return rows
 }
 
-func (s *Survey) askOne(ctx context.Context, m fleet.Member) Row {
+func (s *Survey) queryMember(ctx context.Context, m fleet.Member) Row {
 	var v process.Version
 	if err := s.get(ctx, "http://"+m.Operator+"/version", &v); err != nil {
 		return Row{Member: m, Error: err.Error()}
@@ -88,7 +92,7 @@
 }
 
 func (s *Survey) get(ctx context.Context, url string, v any) error {
-	ctx, stop := context.WithTimeout(ctx, askTimeout)
+	ctx, stop := context.WithTimeout(ctx, queryTimeout)
 	defer stop()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -106,7 +110,8 @@
 	return eris.Wrap(json.NewDecoder(a.Body).Decode(v), "status")
 }
 
-// Lagging returns the rows in which a version below v is in force.
+// Lagging returns the members that have a version below v in force, including
+// those that were not reached: their version is 0.
 func Lagging(rows []Row, v bundle.Version) []Row {
 	var out []Row
 	for _, r := range rows {
@@ -117,7 +122,7 @@
 	return out
 }
 
-// Newest returns the highest version in force anywhere.
+// Newest returns the highest version that any of the members has in force.
 func Newest(rows []Row) bundle.Version {
 	var v bundle.Version
 	for _, r := range rows {
--- a/peer/platform.go
+++ b/peer/platform.go
@@ -15,8 +15,8 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// watch reads the objects of a kind from the platform: all the time as a relay,
-// else while no peer is known or no bundle was heard of.
+// watch reads the objects of a kind from the platform. A relay does so all the
+// time, other processes only while they know no peer or have no bundle.
 func (n *Node) watch(ctx context.Context, k platform.Kind) {
 	b := newBackoff()
 	var at platform.Revision
@@ -28,7 +28,7 @@
 			continue
 		}
 		x, err := n.read(ctx, k, at)
-		n.platformHeard(ctx, err)
+		n.setPlatformResult(ctx, err)
 		if errors.Is(err, platform.ErrGone) {
 			at = 0
 			continue
@@ -41,18 +41,18 @@
 		}
 		b.Reset()
 		if x.At < at {
-			at = 0 // the store was restored from an older copy: read it all
+			at = 0 // the store was restored from an older backup: list everything
 			continue
 		}
 		if n.Lag != nil && !clock.Sleep(ctx, n.Lag()) {
 			return
 		}
 		at = x.At
-		n.takeEvents(k, x.Events)
+		n.mergeEvents(k, x.Events)
 	}
 }
 
-// read returns what changed after the revision, from revision zero everything.
+// read returns the changes after the revision, or all objects for revision zero.
 func (n *Node) read(ctx context.Context, k platform.Kind, at platform.Revision) (platform.Changes, error) {
 	if at != 0 {
 		return n.Platform.Watch(ctx, k, at, watchWait)
@@ -70,13 +70,13 @@
 	return relay || len(src) == 0 || n.State.Accepted() == nil
 }
 
-func (n *Node) platformHeard(ctx context.Context, err error) {
+func (n *Node) setPlatformResult(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	n.mu.Lock()
-	was := n.down
-	n.down = err != nil
+	was := n.platformDown
+	n.platformDown = err != nil
 	n.mu.Unlock()
 	switch {
 	case err != nil && !was:
@@ -90,10 +90,10 @@
 func (n *Node) PlatformDown() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.down
+	return n.platformDown
 }
 
-func (n *Node) takeEvents(k platform.Kind, es []platform.Event) {
+func (n *Node) mergeEvents(k platform.Kind, es []platform.Event) {
 	var c fleet.Change
 	for _, e := range es {
 		o := e.Object
@@ -115,16 +115,17 @@
 			c.Members = append(c.Members, m)
 		}
 	}
-	n.take(c, "platform")
+	n.mergeChange(c, "platform")
 }
 
-// publish writes the node's own record when it changes and every renewEvery.
+// publish announces the node's own record and writes it to the platform, when it
+// changes and about every renewInterval.
 func (n *Node) publish(ctx context.Context) {
 	b := newBackoff()
 	for ctx.Err() == nil {
-		n.tell(ctx)
+		n.announceSelf(ctx)
 		if err := n.write(ctx); err != nil {
-			n.platformHeard(ctx, err)
+			n.setPlatformResult(ctx, err)
 			if !pause(ctx, b) {
 				return
 			}
@@ -132,36 +133,36 @@
 		}
 		b.Reset()
 		select {
-		case <-n.announce:
-		case <-time.After(renewEvery + rand.N(renewEvery/10)):
+		case <-n.publishNow:
+		case <-time.After(renewInterval + rand.N(renewInterval/10)):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// tellMost is how many peers a node tells of its own change directly, so that
-// it is known while the platform is down.
-const tellMost = 2
+// maxAnnouncePeers is the maximum number of peers that a node announces its own
+// record to, so that changes also spread while the platform is down.
+const maxAnnouncePeers = 2
 
-func (n *Node) tell(ctx context.Context) {
+func (n *Node) announceSelf(ctx context.Context) {
 	_, src := n.sources()
-	for _, a := range src[:min(tellMost, len(src))] {
+	for _, a := range src[:min(maxAnnouncePeers, len(src))] {
 		if err := n.Client.Announce(ctx, a, fleet.Change{Members: []fleet.Member{n.Self()}}); err != nil && ctx.Err() == nil {
 			n.Log.Add(events.PeerDown, slog.String("peer", a.String()), slog.String("error", err.Error()))
 		}
 	}
 }
 
-// write puts the record into the platform on the condition that the object is
-// as this life last saw it.
+// write stores the node's record in the platform, on the condition that the
+// object is unchanged since this incarnation last wrote or read it.
 //
-// A holder that was paused past the removal of its object, or past the start of
-// the next life at its address, would write a dead record over a live one; it
-// shows as a failed condition, after which the object is read and only replaced
-// if it is of an older life.
+// Without the condition, a process that was paused until its object was removed,
+// or until a new incarnation started at its address, could overwrite a live
+// record with its outdated one. When the condition fails, the object is read and
+// replaced only if it does not belong to a newer incarnation.
 func (n *Node) write(ctx context.Context) error {
 	n.mu.Lock()
-	m, at := n.self, n.written
+	m, at := n.self, n.writtenRevision
 	n.mu.Unlock()
 	if m.Phase == fleet.PhaseLeft {
 		return nil
@@ -173,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	n.setWritten(o.Meta.Revision)
+	n.setWrittenRevision(o.Meta.Revision)
 	return nil
 }
 
@@ -184,48 +185,50 @@
 	return n.Platform.Update(ctx, platform.KindMember, string(m.ID), m, at)
 }
 
-func (n *Node) setWritten(r platform.Revision) {
+func (n *Node) setWrittenRevision(r platform.Revision) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.written = r
+	n.writtenRevision = r
 }
 
-// resolve reads back what the platform holds after a conflict or a lost answer.
+// resolve reads the object back after a conflict or a lost response, and returns
+// errRetry if the record has to be written again.
 func (n *Node) resolve(ctx context.Context, m fleet.Member) error {
 	o, err := n.Platform.Get(ctx, platform.KindMember, string(m.ID))
 	if errors.Is(err, platform.ErrNotFound) {
-		n.setWritten(0)
+		n.setWrittenRevision(0)
 		return errRetry
 	}
 	if err != nil {
 		return err
 	}
-	var held fleet.Member
-	if err := json.Unmarshal(o.Spec, &held); err == nil && held.Incarnation > m.Incarnation {
-		return nil // the next life at this address owns the object
+	var existing fleet.Member
+	if err := json.Unmarshal(o.Spec, &existing); err == nil && existing.Incarnation > m.Incarnation {
+		return nil // a newer incarnation at this address owns the object
 	}
-	n.setWritten(o.Meta.Revision)
-	if held == m {
+	n.setWrittenRevision(o.Meta.Revision)
+	if existing == m {
 		return nil
 	}
 	return errRetry
 }
 
-var errRetry = errors.New("object changed while it was written; trying again")
+var errRetry = errors.New("platform object changed during the write; retrying")
 
-// reap removes the objects of members that stayed doubted. The conditional
-// delete is the guard: a member that wrote in between has changed its object.
-func (n *Node) reap(ctx context.Context, since map[fleet.MemberID]time.Time) {
+// reap removes the objects of members that have been doubted for reapAfter;
+// doubtedSince holds when each doubt was first seen. The delete is conditional,
+// so it fails if the member has written its object in the meantime.
+func (n *Node) reap(ctx context.Context, doubtedSince map[fleet.MemberID]time.Time) {
 	doubts := n.State.Doubted()
-	for id := range since {
+	for id := range doubtedSince {
 		if !doubts[id] {
-			delete(since, id)
+			delete(doubtedSince, id)
 		}
 	}
 	for id := range doubts {
-		t, ok := since[id]
+		t, ok := doubtedSince[id]
 		if !ok {
-			since[id] = time.Now()
+			doubtedSince[id] = time.Now()
 			continue
 		}
 		if time.Since(t) > reapAfter {
@@ -237,8 +240,8 @@
 func (n *Node) remove(ctx context.Context, id fleet.MemberID) {
 	m, ok := n.State.Member(id)
 	o, err := n.Platform.Get(ctx, platform.KindMember, string(id))
-	var held fleet.Member
-	if err != nil || !ok || json.Unmarshal(o.Spec, &held) != nil || held.Incarnation != m.Incarnation {
+	var existing fleet.Member
+	if err != nil || !ok || json.Unmarshal(o.Spec, &existing) != nil || existing.Incarnation != m.Incarnation {
 		return
 	}
 	if n.Platform.Delete(ctx, platform.KindMember, string(id), o.Meta.Revision) == nil {
--- a/peer/server.go
+++ b/peer/server.go
@@ -21,37 +21,41 @@
 const (
 	pathFleet    = "/fleet"
 	pathAnnounce = "/announce"
-	// maxFollow is the longest that a follower may wait for a change.
-	maxFollow = 30 * time.Second
-	// settle gathers changes that come close together into one answer.
-	settle = 50 * time.Millisecond
-	// maxAnnounce bounds what a peer may announce at once, in bytes.
-	maxAnnounce = 4 << 20
-	// callIdle finds a sibling that died with requests under way.
-	callIdle  = 6 * time.Second
-	callAlive = 2 * time.Second
-	// followIdle finds a relay that died; until then its followers hear nothing
-	// new. A relay of a large fleet has some hundred followers, and keeping them
-	// all alive every 2 s would take most of its control traffic.
-	followIdle    = 15 * time.Second
-	followAlive   = 5 * time.Second
-	peerHandshake = time.Second
-	peerStreams   = 4096
+	// maxFollowWait bounds how long a follow request may wait for a change.
+	maxFollowWait = 30 * time.Second
+	// changeBatchDelay is how long a response is delayed to include further
+	// changes that arrive shortly after the first.
+	changeBatchDelay = 50 * time.Millisecond
+	// maxAnnounceBytes bounds the size of one announcement, in bytes.
+	maxAnnounceBytes = 4 << 20
+	// callIdleTimeout is the idle timeout that detects the failure of a peer with
+	// requests in progress. callKeepAlive is the keep-alive interval.
+	callIdleTimeout = 6 * time.Second
+	callKeepAlive   = 2 * time.Second
+	// followIdleTimeout is the idle timeout that detects the failure of a relay;
+	// until then its followers receive no changes. followKeepAlive is longer than
+	// callKeepAlive because a relay of a large fleet has some hundred followers,
+	// and keep-alives to all of them every 2 s would be most of its control
+	// traffic.
+	followIdleTimeout = 15 * time.Second
+	followKeepAlive   = 5 * time.Second
+	handshakeTimeout  = time.Second
+	maxPeerStreams    = 4096
 )
 
-// Server serves peers.
+// Server serves requests from peers.
 type Server struct {
 	state *fleet.State
 	conn  *net.UDPConn
 	tr    *quic.Transport
 	h3    *http3.Server
 	pack  packer
-	// Followed counts the answers given to followers.
+	// Followed counts the responses sent to followers.
 	Followed atomic.Uint64
 }
 
-// NewServer listens for peers on the address. Other paths than the fleet's go
-// to next, which may be nil.
+// NewServer listens for peers on the address. Paths that this package does not
+// serve are passed to next, which may be nil.
 func NewServer(a netip.AddrPort, i *Identity, s *fleet.State, next http.Handler) (*Server, error) {
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(a))
 	if err != nil {
@@ -68,16 +72,16 @@
 	return v, nil
 }
 
-// Addr returns the address that peers reach the server at.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() netip.AddrPort { return s.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// serverConfig leaves keeping a connection alive to the client, which knows what
-// it needs.
+// serverConfig sets no keep-alive: the client sends keep-alives, because it knows
+// how quickly each of its connections has to detect a failure.
 func serverConfig() *quic.Config {
-	return &quic.Config{HandshakeIdleTimeout: peerHandshake, MaxIdleTimeout: followIdle, MaxIncomingStreams: peerStreams}
+	return &quic.Config{HandshakeIdleTimeout: handshakeTimeout, MaxIdleTimeout: followIdleTimeout, MaxIncomingStreams: maxPeerStreams}
 }
 
-// Run serves until Close.
+// Run serves requests until Close is called.
 func (s *Server) Run() error {
 	l, err := s.tr.ListenEarly(s.h3.TLSConfig, serverConfig())
 	if err != nil {
@@ -91,28 +95,29 @@
 	return err
 }
 
-// Close stops the server at once.
+// Close stops the server immediately, without waiting for open requests.
 func (s *Server) Close() {
 	s.h3.Close()
 	s.tr.Close()
 	s.conn.Close()
 }
 
-// serveFleet answers a follower when there is something new to it.
+// serveFleet responds to a follower as soon as there are changes that it does not
+// have, or when its wait ends.
 func (s *Server) serveFleet(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	epoch, _ := strconv.ParseUint(q.Get("epoch"), 10, 64)
 	rev, _ := strconv.ParseUint(q.Get("revision"), 10, 64)
 	have, _ := strconv.ParseUint(q.Get("have"), 10, 64)
 	wait, _ := time.ParseDuration(q.Get("wait"))
-	ctx, stop := context.WithTimeout(r.Context(), min(wait, maxFollow))
+	ctx, stop := context.WithTimeout(r.Context(), min(wait, maxFollowWait))
 	defer stop()
-	c := s.waitChange(ctx, epoch, rev, bundle.Version(have))
+	c := s.waitForChange(ctx, epoch, rev, bundle.Version(have))
 	s.Followed.Add(1)
 	s.pack.write(w, r, s.state, c)
 }
 
-func (s *Server) waitChange(ctx context.Context, epoch, rev uint64, have bundle.Version) fleet.Change {
+func (s *Server) waitForChange(ctx context.Context, epoch, rev uint64, have bundle.Version) fleet.Change {
 	for {
 		changed := s.state.Changed()
 		c := s.state.Since(epoch, rev, have)
@@ -121,7 +126,7 @@
 		}
 		select {
 		case <-changed:
-			time.Sleep(settle)
+			time.Sleep(changeBatchDelay)
 		case <-ctx.Done():
 			return c
 		}
@@ -130,7 +135,7 @@
 
 func (s *Server) serveAnnounce(w http.ResponseWriter, r *http.Request) {
 	var c fleet.Change
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnounce)).Decode(&c); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnounceBytes)).Decode(&c); err != nil {
 		http.Error(w, "announcement: "+err.Error(), http.StatusBadRequest)
 		return
 	}
