--- a/datagram/absence.go
+++ b/datagram/absence.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// An upstream that crashes says nothing, and its agent lives on. So an agent with a
-// suspicion tries the upstream's address: a refused connection is a proof, as a process
-// that stands still or is overloaded refuses none. Then every caller is told at once that
-// its flow is gone. Cost: a connection at each suspicion. The upstream's health endpoint
-// is not used, as it takes a slot and misleads.
+// Detection of crashed upstreams. A crashing upstream sends nothing, and its agent keeps
+// running. An agent that suspects a crash therefore tries to connect to the upstream's
+// address. A refused connection proves the crash, because a paused or overloaded process
+// does not refuse connections. The agent then resets every flow at once, so that no caller
+// waits for an answer. This costs one connection per suspicion. The upstream's health
+// endpoint is not used, because a call to it takes a slot and its answer is misleading.
 
 const (
-	// overdueAfter is two of the upstream's heartbeats.
+	// heartbeatTimeout is two of the upstream's heartbeat intervals.
 	overdueAfter = 1540 * time.Millisecond
-	// muteAfter is how long an upstream sends nothing before a caller's repeated packet
-	// is a suspicion; it is less than the time after which callers repeat themselves.
+	// muteTimeout is how long an upstream must have sent nothing for a caller's
+	// retransmission to raise a suspicion. It is shorter than the time after which callers
+	// retransmit.
 	muteAfter = 100 * time.Millisecond
-	// probeEvery spaces the probes while the suspicion lasts.
+	// probeInterval is the time between probes while the suspicion lasts.
 	probeEvery = 250 * time.Millisecond
 )
 
-// suspicious reports whether the upstream may have ended without a word.
+// mayHaveCrashed reports whether the upstream may have ended without deregistering.
 func (a *Agent) suspicious(now time.Duration) bool {
 	u := &a.upstream
 	switch u.state {
@@ -35,7 +37,7 @@
 	return u.mute || u.silent(now) || now-u.announced > overdueAfter
 }
 
-// probe has the upstream's address tried if there is a suspicion.
+// probe starts a connection attempt to the upstream's address if a crash is suspected.
 func (a *Agent) probe(now time.Duration) {
 	if a.Probe == nil || a.probing || a.probed != 0 && now-a.probed < probeEvery || !a.suspicious(now) {
 		return
@@ -44,7 +46,7 @@
 	a.Probe()
 }
 
-// probeDue returns when what the upstream leaves unanswered is a suspicion.
+// nextProbe returns when the upstream's silence becomes a reason to probe.
 func (a *Agent) probeDue() time.Duration {
 	u := &a.upstream
 	switch {
@@ -58,42 +60,42 @@
 	return math.MaxInt64
 }
 
-// Probe is what came of trying the upstream's address.
+// ProbeResult is the result of a connection attempt to the upstream's address.
 type Probe uint8
 
-// Outcomes of a probe.
+// Results of a probe.
 const (
-	// ProbeUnanswered proves nothing.
+	// ProbeUnanswered: no answer, which proves nothing.
 	ProbeUnanswered Probe = iota
-	// ProbeRefused: nothing listens there.
+	// ProbeRefused: nothing listens at the address.
 	ProbeRefused
-	// ProbeAccepted: an upstream is there, as far as its VM's kernel can tell.
+	// ProbeAccepted: something listens at the address, as far as its VM's kernel can tell.
 	ProbeAccepted
 )
 
-// Probed takes in what came of a probe.
+// HandleProbeResult processes the result of a probe.
 func (a *Agent) Probed(p Probe, now time.Duration) {
 	a.probing = false
 	u := &a.upstream
 	u.listens = p == ProbeAccepted
 	if p != ProbeRefused || u.state == UpstreamAbsent || u.state != UpstreamUnknown && u.announced >= a.probed {
-		// What an upstream says after the probe began goes before it: it was refused
-		// just before the upstream listened.
+		// An announcement that arrived after the probe began takes precedence: the
+		// connection was refused just before the upstream started to listen.
 		return
 	}
 	a.endFlows(now, now)
-	// What starts there later has no flow that this agent does not know.
+	// The agent knows every flow of an upstream that starts at this address later.
 	u.state, u.complete, u.gave = UpstreamAbsent, true, 0
 	a.Log.upstreamChanged(u, false)
 	a.tell(now)
 }
 
-// endFlows tells the callers of flows that were opened before then that they are gone:
-// their upstream has ended, or started anew.
+// endFlows resets the flows that were opened up to the given time, because their upstream
+// has ended or restarted.
 func (a *Agent) endFlows(before, now time.Duration) {
 	for k, f := range a.flows.all() {
 		if f.since > before {
-			f.born = a.upstream.born // the upstream will say if it does not hold it
+			f.born = a.upstream.born // if the upstream does not hold it, it bounces its packets
 			continue
 		}
 		if f.phase == flowOpen && !f.finished && f.number != 0 {
@@ -104,6 +106,6 @@
 	a.recount(now)
 }
 
-// bornUnheard is how long an upstream may take flows before its announcement is
-// taken in: its tries are a second apart at the most.
+// announcementDelay is how long an upstream may take flows before its announcement arrives.
+// Its attempts are at most one second apart.
 const bornUnheard = time.Second
--- a/datagram/agent.go
+++ b/datagram/agent.go
@@ -8,8 +8,8 @@
 	"pomeloway.example/pomeloway/link"
 )
 
-// AgentOutput sends what an agent decides. Buffers are the agent's own again
-// when a call returns.
+// AgentOutput sends an agent's packets and messages. The agent may reuse a buffer as soon
+// as the call returns.
 type AgentOutput interface {
 	ToProcess(ip IP, m []byte)
 	ToCaller(ip IP, p []byte)
@@ -17,9 +17,10 @@
 	ToUpstream(p []byte)
 }
 
-// Agent stands beside an upstream and is the only one that gives it packets. It
-// alone decides on openings, since all that binds one is known there first; of
-// established flows its upstream is the truth.
+// Agent forwards packets between balancers, callers and one upstream, and is the only
+// process that sends packets to that upstream. It alone admits openings, because it learns
+// first of everything that can forbid one. The upstream is authoritative for established
+// flows.
 type Agent struct {
 	Life    Life
 	Service ServiceKey
@@ -29,29 +30,29 @@
 	Keys    link.Keys
 	Log     *Log
 	Count   AgentCounts
-	// Observe takes times, if not nil.
+	// Observe, if not nil, receives the measured durations.
 	Observe observer
-	// BusyAt is how many requests for each slot make the upstream busy, so that
-	// openings go elsewhere if they can; 0 means busyAt, less means never.
+	// BusyAt is the number of requests per slot from which the upstream counts as busy, so
+	// that openings prefer other agents; 0 means busyAt, a negative value never.
 	BusyAt float64
-	// Evacuation is within what nothing more may be sent to an availability zone that
-	// operators took out; 0 means evacuationUsual.
+	// Evacuation is the time after which nothing more may be sent to an availability zone
+	// that operators took out of service; 0 means defaultEvacuation.
 	Evacuation time.Duration
-	// Probe, if not nil, has the upstream's address tried; Probed is called with
-	// what came of it. It must not wait.
+	// Probe, if not nil, starts a connection attempt to the upstream's address; its result
+	// is passed to HandleProbeResult. It must not block.
 	Probe func()
-	// OnDrain, if not nil, is called when the upstream has said that it drains, so that
-	// it can be recorded for a later run of the agent. It must not wait.
+	// OnDrain, if not nil, is called when the upstream starts draining, so that this can be
+	// recorded for a later run of the agent. It must not block.
 	OnDrain func()
 
 	upstream  upstream
 	balancers map[IP]*balancerView
 	homes     homeSet
-	homesDue  time.Duration // when the set is to be worked out again; 0: never
-	homesTell time.Duration // when all are to be told of another set; 0: never
-	homesLast time.Duration // and the latest time for that
+	homesDue  time.Duration // when homes is recomputed; 0: not scheduled
+	homesTell time.Duration // when all balancers are sent the new set; 0: not scheduled
+	homesLast time.Duration // the time past which that is not postponed
 	former    []formerHomes
-	// homesTells is how often all are still to be told of the set.
+	// homesSendsLeft is how many more times all balancers are sent the set.
 	homesTells int
 	zoneOut    bool
 	outSince   time.Duration
@@ -70,12 +71,12 @@
 	last       uint32
 	sequence   uint32
 	status     time.Duration
-	agents     int    // of the fleet, as balancers say
-	near       uint64 // digest of the balancers that are told often
+	agents     int    // agents in the fleet, as reported by balancers
+	near       uint64 // digest of the near balancers, which receive statuses often
 	scratch    [2048]byte
 }
 
-// AgentCounts count decisions.
+// AgentCounts counts an agent's decisions.
 type AgentCounts struct {
 	Taken, Declined, Bounced, Established, Resets uint64
 	NotMine, Mine, Packets, Answers, Dropped      uint64
@@ -85,45 +86,46 @@
 type balancerView struct {
 	life        Life
 	heard, told time.Duration
-	// promised is the interval after which it expects the next status.
+	// expectedInterval is the time within which the balancer expects the next status.
 	promised time.Duration
-	agents   int // how many it knows
-	// entries are flows that it was told of in this epoch.
+	agents   int // how many agents the balancer knows
+	// entries is the number of flows sent to it in this epoch.
 	epoch, entries uint32
 }
 
 const (
-	// pendingMost is more packets than an upstream can hold unread.
+	// maxPending exceeds the number of packets that an upstream can hold unread.
 	pendingMost = 4096
-	// flowsTurn is over the idle time-out of flows.
+	// flowTableTurn exceeds the idle timeout of flows.
 	flowsTurn = 30 * time.Second
-	// flowsMost bounds the memory of an agent.
+	// maxFlows bounds an agent's memory.
 	flowsMost = 100_000
-	// flowLife is over the longest life of a flow.
+	// maxFlowLifetime exceeds the longest lifetime of a flow.
 	flowLife = 65 * time.Second
-	// recountEvery bounds for how long a wrong count lasts.
+	// recountInterval bounds how long a wrong count lasts.
 	recountEvery = time.Second
-	// requestLife is over the longest deadline of a request that takes a slot;
-	// its caller has given up.
+	// maxRequestDuration exceeds the longest deadline of a request that takes a slot; the
+	// caller of an older request has given up.
 	requestLife = 10 * time.Second
-	// evacuationUsual is the bound of an evacuation where the settings have none.
+	// defaultEvacuation applies where the settings have no evacuation time.
 	evacuationUsual = 5 * time.Second
-	// cutFrom and cutTill are the shares of that bound between which the flows of an
-	// availability zone that is out end, each at its own time; openings stop at once.
-	// A caller may still end what it has begun, and the others lose a request each, which
-	// is not to happen to all at one moment. What is left of the bound is for the word to
-	// come here.
+	// cutStart and cutEnd delimit, as shares of the evacuation time, the period in which
+	// the flows of an availability zone that is out of service are cut, each at its own
+	// time. Openings are refused at once. Until its flow is cut, a caller can finish what it has
+	// begun. The remaining flows lose one request each, and spreading the cuts avoids
+	// losing all of these at the same moment. The rest of the evacuation time covers the
+	// delay until the agent learns of the evacuation.
 	cutFrom = 0.6
 	cutTill = 0.96
 )
 
-// Start prepares the agent; its exported fields are set before.
+// Start initializes the agent. Its exported fields must be set before.
 func (a *Agent) Start() {
 	a.balancers = map[IP]*balancerView{}
 	a.flows = newTable[*flowState](flowsTurn, flowsMost)
 }
 
-// Meet tells the agent of a balancer that it does not know.
+// AddBalancer adds a balancer unless it is already known, and sends it the agent's status.
 func (a *Agent) Meet(ip IP, now time.Duration) {
 	if _, known := a.balancers[ip]; known || ip == 0 {
 		return
@@ -132,22 +134,24 @@
 	a.greet(ip, now)
 }
 
-// greet tells a balancer that does not know the agent how it is. It is told again
-// within greetEvery, and by then how often it will be told from there on.
+// sendInitialStatus sends the status to a balancer that does not know the agent yet. It
+// announces a next status within initialStatusInterval; that one carries the regular
+// interval.
 func (a *Agent) greet(ip IP, now time.Duration) {
 	b := a.balancers[ip]
 	b.told, b.promised = now, LargeEvery
 	a.Out.ToProcess(ip, a.statusMessage(b, now, greetEvery, true))
 }
 
-// Announce takes in what the upstream says of itself and reports whether it may
-// be acknowledged: from then on a draining upstream gets no opening.
+// HandleAnnouncement processes an announcement of the upstream and reports whether it may
+// be acknowledged. Once a draining upstream has the acknowledgement, it receives no further
+// opening.
 func (a *Agent) Announce(n *Announcement, now time.Duration) bool {
 	if n.Service != a.Service {
 		a.Count.BadAnnouncements++
 		return false
 	}
-	was := a.upstream.state
+	previous := a.upstream.state
 	fresh, reborn := a.upstream.accept(n, now)
 	if !fresh {
 		return true
@@ -155,17 +159,17 @@
 	if reborn {
 		a.endFlows(now-bornUnheard, now)
 	}
-	if a.upstream.state != was || reborn {
+	if a.upstream.state != previous || reborn {
 		a.Log.upstreamChanged(&a.upstream, reborn)
 		a.tell(now)
 	}
-	if a.upstream.state == UpstreamDraining && was != UpstreamDraining && a.OnDrain != nil {
+	if a.upstream.state == UpstreamDraining && previous != UpstreamDraining && a.OnDrain != nil {
 		a.OnDrain()
 	}
 	return true
 }
 
-// Deregister takes in that the upstream is about to exit.
+// Deregister notes that the upstream is about to exit.
 func (a *Agent) Deregister(id string, now time.Duration) {
 	if id != a.upstream.id {
 		return
@@ -175,16 +179,16 @@
 	a.tell(now)
 }
 
-// Leave says that the agent is about to stop.
+// Leave announces that the agent is about to stop.
 func (a *Agent) Leave(now time.Duration) {
 	a.leaving = true
 	a.tell(now)
 }
 
-// State returns what is known of the upstream.
+// UpstreamState returns the last known state of the upstream.
 func (a *Agent) State() UpstreamState { return a.upstream.state }
 
-// HandleMessage takes a message of a balancer.
+// HandleMessage processes a message from a balancer.
 func (a *Agent) HandleMessage(from IP, m []byte, now time.Duration) {
 	var h Message
 	p, ok := h.Get(m, a.Keys)
@@ -215,14 +219,14 @@
 	a.Meet(from, now)
 	b := a.balancers[from]
 	if b.heard = now; b.life != s.Life {
-		// It has just started and knows no agent: it would pass over this one, and
-		// could tell nobody that a flow is gone, until the next status.
+		// The balancer has just started and knows no agent. Until the next status it could
+		// not route to this agent, nor report that a flow is gone.
 		b.life = s.Life
 		a.enterAgain(from)
 		if slices.Contains(a.homes.ips, from) {
 			a.greet(from, now)
 		} else if a.homesDue == 0 {
-			a.homesDue = now + homesGather // it is greeted with the set of which it is then one
+			a.homesDue = now + homesGather // the update sends it the status, with a home set that contains it
 		}
 	}
 	b.agents = int(s.Agents)
@@ -234,8 +238,9 @@
 	a.setZonesOut(s.Zones, s.Revision, now)
 }
 
-// setZonesOut follows the latest revision of any balancer, so one that is cut
-// off from the store can't bring back what it last saw.
+// setZonesOut applies the evacuated availability zones unless a later revision is known. A
+// balancer that is cut off from the store can therefore not restore the older state that it
+// last read.
 func (a *Agent) setZonesOut(zs []ZoneKey, revision uint64, now time.Duration) {
 	if revision <= a.revision {
 		return
@@ -252,7 +257,7 @@
 	a.Log.zoneChanged(out, revision)
 }
 
-// Tick does what is due and returns when it wants to be called again.
+// Tick does the work that is due and returns when it must be called again.
 func (a *Agent) Tick(now time.Duration) time.Duration {
 	a.flows.tick(now)
 	a.probe(now)
@@ -292,7 +297,8 @@
 	return at
 }
 
-// countAgents works out the size of the fleet: balancers that have just started know less.
+// updateAgentCount recomputes the fleet size as the largest count that any balancer
+// reports, because balancers that have just started know fewer agents.
 func (a *Agent) countAgents() {
 	a.agents = 0
 	for _, b := range a.balancers {
@@ -300,41 +306,42 @@
 	}
 }
 
-// tell sends the agent's status to all balancers, as something changed.
+// broadcastStatus sends the agent's status to all balancers after a change.
 func (a *Agent) tell(now time.Duration) { a.tellThose(now, 0, 0) }
 
-// tellThose sends it to the balancers that are near or far and were told last so
-// long ago, and to those that expect it: one that is no longer near would take the agent
-// for silent until the next status of those that are far.
-func (a *Agent) tellThose(now, near, far time.Duration) {
+// sendDueStatuses sends the status to each balancer whose last status is older than
+// nearAfter or farAfter, depending on whether the balancer is near, or that expects one
+// now. A balancer that has stopped being near would otherwise consider the agent silent
+// until the next round of far balancers.
+func (a *Agent) tellThose(now, nearAfter, farAfter time.Duration) {
 	a.status = now
-	close := nearest(uint64(a.Life), slices.Collect(maps.Keys(a.balancers)), nearCount(a.agents, len(a.balancers)))
-	if d := digestOf(close); d != a.near {
+	nearby := nearest(uint64(a.Life), slices.Collect(maps.Keys(a.balancers)), nearCount(a.agents, len(a.balancers)))
+	if d := digestOf(nearby); d != a.near {
 		a.near = d
-		a.Log.nearChanged(len(close), len(a.balancers), a.agents)
+		a.Log.nearChanged(len(nearby), len(a.balancers), a.agents)
 	}
 	for ip, b := range a.balancers {
-		after, every := far, farEvery(a.agents)
-		if contains(close, ip) {
-			after, every = near, nearEvery(a.agents, len(a.balancers))
+		after, interval := farAfter, farEvery(a.agents)
+		if contains(nearby, ip) {
+			after, interval = nearAfter, nearEvery(a.agents, len(a.balancers))
 		}
 		if b.life == 0 {
-			after = min(after, StatusEvery) // it has not answered, or not started yet
+			after = min(after, StatusEvery) // it has not answered, or has not started yet
 		}
 		if now-b.told >= min(after, b.promised) {
-			b.told, b.promised = now, every
-			a.Out.ToProcess(ip, a.statusMessage(b, now, every, len(a.former) > 0))
+			b.told, b.promised = now, interval
+			a.Out.ToProcess(ip, a.statusMessage(b, now, interval, len(a.former) > 0))
 		}
 	}
 }
 
-// statusMessage returns the status for one balancer, which is told again within every,
-// with the balancers among which the agent chooses homes if they are wanted and few.
-func (a *Agent) statusMessage(b *balancerView, now, every time.Duration, homes bool) []byte {
+// statusMessage returns the status for one balancer and announces the next one within
+// interval. If withHomes is set and the home set is small enough, the message also lists it.
+func (a *Agent) statusMessage(b *balancerView, now, interval time.Duration, withHomes bool) []byte {
 	a.sequence++
 	s := AgentStatus{
 		Life: a.Life, Sequence: a.sequence, Uptime: MillisOf(now), Service: a.Service, Zone: a.Zone,
-		Every: MillisOf(every), State: a.upstream.state, Leaving: a.leaving, Slots: uint16(a.upstream.slots),
+		Every: MillisOf(interval), State: a.upstream.state, Leaving: a.leaving, Slots: uint16(a.upstream.slots),
 		Flows: uint16(max(0, min(a.open, 1<<16-1))), UnderWay: uint16(max(0, min(a.underWay, 1<<16-1))),
 		Homes: a.homes.digest, Epoch: b.epoch, Entries: b.entries, KnowsAll: a.knowsAll(now),
 	}
@@ -345,7 +352,7 @@
 		s.Cold = MillisOf(a.upstream.coldTill - now)
 	}
 	m := s.append(a.scratch[:HeaderLen])
-	if homes && len(a.homes.ips) <= homesListed {
+	if withHomes && len(a.homes.ips) <= homesListed {
 		m = appendIPs(append(m, byte(len(a.homes.ips))), a.homes.ips)
 	}
 	h := Message{Kind: KindAgent, Service: a.Service}
--- a/datagram/agents.go
+++ b/datagram/agents.go
@@ -8,7 +8,7 @@
 	"pomeloway.example/pomeloway/fleet"
 )
 
-// Member is an agent or a balancer as recorded where the fleet keeps its members.
+// Member is the record of an agent or a balancer in the fleet's store.
 type Member struct {
 	IP      IP
 	Agent   bool
@@ -20,7 +20,7 @@
 type agents struct {
 	placement Placement
 	zone      ZoneKey
-	out       map[ZoneKey]bool // the balancer's own
+	out       map[ZoneKey]bool // shared with the balancer
 	byIP      map[IP]*agentView
 	byService map[ServiceKey][]*agentView
 }
@@ -29,9 +29,10 @@
 	return agents{byIP: map[IP]*agentView{}, byService: map[ServiceKey][]*agentView{}}
 }
 
-// hear takes in a status; born says whether it is of a life that was not known,
-// which knows nobody yet, and changed whether what it says is new.
-func (x *agents) hear(ip IP, s AgentStatus, now time.Duration) (born, changed bool) {
+// applyStatus stores a status unless it is outdated. Restarted reports whether its life was
+// unknown, in which case the agent does not know this balancer yet; changed reports whether
+// its content differs from the previous status.
+func (x *agents) hear(ip IP, s AgentStatus, now time.Duration) (restarted, changed bool) {
 	a := x.byIP[ip]
 	if a != nil && !a.newer(&s, now) {
 		return false, false
@@ -40,9 +41,9 @@
 	if a == nil {
 		a = x.add(ip, now)
 	}
-	born = a.status.Life != s.Life
-	changed = moved || born || a.status.State != s.State || a.status.Leaving != s.Leaving
-	if born {
+	restarted = a.status.Life != s.Life
+	changed = moved || restarted || a.status.State != s.State || a.status.Leaving != s.Leaving
+	if restarted {
 		a.former = [4]Life{a.status.Life, a.former[0], a.former[1], a.former[2]}
 		a.started = now - s.Uptime.Duration()
 	}
@@ -51,7 +52,7 @@
 	if moved {
 		x.index()
 	}
-	return born, changed
+	return restarted, changed
 }
 
 // suspects reports whether the agent is known and suspected.
@@ -66,8 +67,8 @@
 	return a
 }
 
-// record takes in the members as recorded. An agent that was heard goes by its
-// own word.
+// applyRecords stores the recorded members. For an agent that has sent a status, its status
+// takes precedence over its record.
 func (x *agents) record(ms []Member, now time.Duration) {
 	for _, a := range x.byIP {
 		a.recorded = false
--- a/datagram/agentview.go
+++ b/datagram/agentview.go
@@ -6,42 +6,44 @@
 )
 
 const (
-	// silentStatuses, silentLeast and silentDelay are how long an agent may be
-	// silent: two of its statuses and their way, so that one lost datagram is no
-	// doubt, and not less than three of a small site's.
+	// An agent is silent if it has sent nothing for maxMissedStatuses of its status
+	// intervals, but at least minSilence, plus deliveryMargin. Two intervals tolerate one
+	// lost datagram; minSilence is three intervals of a small fleet; deliveryMargin allows
+	// for the delivery time.
 	silentStatuses = 2
 	silentLeast    = 3 * StatusEvery
 	silentDelay    = 100 * time.Millisecond
-	// forgottenAfter is when an agent that nobody hears and no record names is
-	// forgotten: longer than a restart, and than flows can wait for it.
+	// expiryTime is the time after which a member is dropped that sends nothing and has no
+	// record. It is longer than a restart takes, and longer than flows can wait for the
+	// member.
 	forgottenAfter = 30 * time.Second
-	// doubtAfter is how many openings in a row an agent leaves unanswered before
-	// others are tried first; a lost datagram is one.
+	// maxMissedOpenings is the number of consecutive openings that an agent may leave
+	// unanswered before others are tried first. A single one may be due to a lost datagram.
 	doubtAfter = 1
 )
 
-// agentView is what a balancer knows of an agent.
+// agentView is a balancer's knowledge of one agent.
 type agentView struct {
 	ip         IP
 	key        uint64
 	status     AgentStatus
 	recorded   bool
-	noted      time.Duration // when it was known first
-	heard      time.Duration // 0: never
+	noted      time.Duration // when the agent became known
+	heard      time.Duration // when its last status arrived; 0: never
 	started    time.Duration
-	missed     int // openings left unanswered since it was heard
+	missed     int // openings left unanswered since the last status
 	suspicion  suspicion
-	toldStatus time.Duration // when this balancer told the agent its own status
+	toldStatus time.Duration // when this balancer last sent the agent its own status
 	differs    difference
-	homes      homeSet // among which it chooses homes, if it knows the digest in the status
-	work       int     // flows and requests there, by its latest word
-	asked      int     // openings that it has not answered yet
-	// declined is when it said that it is busy, by the opening's priority.
+	homes      homeSet // the balancers among which it chooses homes, valid if the status has this digest
+	work       int     // flows and requests at its upstream, as last reported
+	asked      int     // openings sent to it and not answered yet
+	// declinedAt is when it last declined an opening as busy, by the opening's priority.
 	declined [priorityEnd]time.Duration
 	former   [4]Life
 }
 
-// class orders agents for openings; a lower one is tried first.
+// class groups agents for openings; agents of a lower class are tried first.
 type class uint8
 
 const (
@@ -49,7 +51,7 @@
 	classCold
 	classUnknown
 	classDoubted
-	// classNever agents would refuse, so they aren't asked.
+	// classExcluded agents would refuse every opening, so none is sent to them.
 	classNever
 )
 
@@ -61,8 +63,8 @@
 	case a.missed >= doubtAfter, a.suspicion.since != 0, s.State == UpstreamSilent:
 		return classDoubted
 	case a.heard == 0:
-		// Recorded, and not heard yet: a balancer that has just started would
-		// otherwise send everything to the first agent that it hears.
+		// Recorded, but no status yet. If these agents came last, a balancer that has just
+		// started would send every opening to the first agent whose status arrives.
 		return classReady
 	case a.silent(now):
 		return classDoubted
@@ -74,36 +76,39 @@
 	return classReady
 }
 
-// load is the flows and requests at the agent's upstream, by its size. A request counts
-// as much as a flow: with more, feeds gather where few requests are.
+// load returns the flows and requests at the agent's upstream per slot. Requests and flows
+// weigh the same: with a higher weight of requests, feeds pile up where there are few
+// requests.
 func (a *agentView) load() float64 {
 	return float64(a.work+a.asked) / float64(max(a.status.Slots, 1))
 }
 
-// answered takes in the load that comes with an answer to an opening, which is newer than
-// the last status.
+// updateLoad stores the load reported in the answer to an opening, which is newer than the
+// last status.
 func (a *agentView) answered(load uint16) {
 	a.work, a.asked = int(load), max(0, a.asked-1)
 }
 
-// busyFor is how long an agent that declined an opening is not asked again with the same
-// limit or a lower one: about the time in which its upstream ends a request. It keeps
-// openings that wait from costing more messages than small balancers can send.
+// declineBackoff is how long an agent that declined an opening is not asked again with the
+// same load limit or a lower one. This is about the time in which its upstream completes a
+// request. Without it, waiting openings would cost more messages than small balancers can
+// send.
 const busyFor = 20 * time.Millisecond
 
-// carefulFor is how long after that it is asked by one opening at a time: those that
-// wait do so in step, and would all ask before the first is declined.
+// singleOpeningPeriod is the time after a declined opening in which the agent is sent only
+// one opening at a time. Waiting openings retry at the same moment and would all be sent
+// before the first is declined.
 const carefulFor = 200 * time.Millisecond
 
-// busy reports whether the agent would decline an opening of the priority, as far as is
-// known.
+// wouldDecline reports whether the agent is expected to decline an opening of the priority.
 func (a *agentView) busy(p Priority, now time.Duration) bool {
 	since := now - a.declined[p]
 	return a.declined[p] != 0 && (since < busyFor || since < carefulFor && a.asked > 0)
 }
 
-// decline notes that the agent declined an opening of the priority, with so many requests
-// there: it would decline all that are held to a limit that these reach.
+// noteDecline records that the agent declined an opening of the priority while its upstream
+// had the given number of requests. It would also decline openings of every other priority
+// whose limit that number reaches.
 func (a *agentView) decline(p Priority, requests int, now time.Duration) {
 	for q := range priorityEnd {
 		if q == p || q.limit()*float64(max(a.status.Slots, 1)) <= float64(requests) {
@@ -112,11 +117,11 @@
 	}
 }
 
-// newer reports whether the status is later than what is known.
+// isNewer reports whether the status is newer than the stored one.
 //
-// A datagram of a former life that comes late would set a restarted agent back
-// to what it was, such as ready while it now drains. It shows as a life that was
-// followed by another, or an older sequence; clocks play no part, as they jump.
+// A delayed datagram from before a restart would reset the agent to an outdated state, for
+// example to ready although it now drains. Such a datagram has a life that another one has
+// followed, or an older sequence number. Clocks are not compared, because they can jump.
 func (a *agentView) newer(s *AgentStatus, now time.Duration) bool {
 	if s.Life == a.status.Life {
 		return s.Sequence > a.status.Sequence
@@ -127,36 +132,37 @@
 	return a.heard == 0 || now-s.Uptime.Duration() > a.started
 }
 
-// nearEnough reports whether the agent, of the own availability zone, is taken
-// rather than o: it has a free slot, and is not much fuller.
+// isPreferred reports whether the agent, which is in the balancer's own availability zone,
+// is chosen instead of o: it must have a free slot and not be much more loaded.
 //
-// Crossings between zones cost bytes and time. But zones' callers are not as many as
-// their upstreams can serve, so flows stay at home only as long as that costs no waiting.
+// Traffic between availability zones costs bandwidth and latency. But the callers of a zone
+// can exceed the capacity of its upstreams, so flows stay within the zone only while that
+// causes no waiting.
 func (a *agentView) nearEnough(o *agentView) bool {
 	return int(a.status.UnderWay)+a.asked < int(max(a.status.Slots, 1)) && a.load() <= nearLoad*o.load()+1/float64(max(a.status.Slots, 1))
 }
 
-// nearLoad is how much fuller an upstream of the own zone may be; it keeps the busiest
-// near the mean.
+// sameZoneLoadFactor is how much more loaded an upstream in the own availability zone may
+// be. It keeps the load of the busiest upstream close to the mean.
 const nearLoad = 1.1
 
-// reachable reports whether the agent is heard, and so would answer.
+// reachable reports whether the agent's statuses arrive, so that it is expected to answer.
 func (a *agentView) reachable(now time.Duration) bool {
 	return a.heard != 0 && a.suspicion.since == 0 && !a.silent(now)
 }
 
-// silent reports whether the agent's statuses are overdue.
+// silent reports whether the agent's next status is overdue.
 func (a *agentView) silent(now time.Duration) bool {
 	return now-a.heard > max(silentStatuses*a.status.Every.Duration(), silentLeast)+silentDelay
 }
 
-// near reports whether the agent tells this balancer often.
+// near reports whether the agent sends its status to this balancer often.
 func (a *agentView) near() bool {
 	return a.heard != 0 && a.status.Every.Duration() <= LargeEvery
 }
 
-// knowsHomes reports whether it is known among which balancers the agent chooses homes:
-// those that it listed, or this balancer's own.
+// knowsHomes reports whether the balancer knows the home set that the agent uses: either
+// the agent listed it, or it equals the balancer's own set.
 func (a *agentView) knowsHomes(own *homeSet) bool {
 	if own.knows(a.status.Homes) {
 		a.homes = *own
@@ -164,32 +170,32 @@
 	return a.homes.knows(a.status.Homes)
 }
 
-// unheardAfter is when an agent is held for gone that is recorded, was told of this
-// balancer since it started, and was not heard. A VM that died long ago may still have its
-// record.
+// unseenTimeout is the time after which a recorded agent is considered failed if it never
+// sends a status. The agent has been sent this balancer's status by then. The VM behind a
+// record may have died long ago.
 const unheardAfter = 2 * time.Second
 
-// mayHold reports whether the agent may hold flows.
+// mayHoldFlows reports whether the agent may hold flows.
 func (a *agentView) mayHold(now time.Duration) bool {
 	return a.mayLive(now) || a.reachable(now) && !a.holdsNone()
 }
 
-// wasBefore reports whether the life is an earlier one of the agent.
+// isPreviousLife reports whether l is an earlier life of the agent.
 func (a *agentView) wasBefore(l Life) bool { return l != 0 && slices.Contains(a.former[:], l) }
 
-// holdsNone reports whether the agent said that it has no upstream with flows.
+// holdsNoFlows reports whether the agent has reported that it has no upstream with flows.
 func (a *agentView) holdsNone() bool {
 	s := &a.status
 	return s.State == UpstreamGone || s.State == UpstreamAbsent ||
 		s.State == UpstreamUnknown && s.KnowsAll && s.Uptime.Duration() > announcedWithin
 }
 
-// mayLive reports whether a silent agent may still hold flows: until it has left questions
-// unanswered.
+// mayBeAlive reports whether an agent that is silent may still hold flows, which is so
+// until it has left enough verifications unanswered.
 //
-// Those whose upstream had deregistered, or had not been heard for as long as one that
-// lives needs, hold none. Their VMs are taken away soon after, and must not hold up the
-// callers of other upstreams.
+// An agent holds no flows if its upstream had deregistered, or had not announced itself for
+// longer than a running upstream needs to. VMs of such agents are removed soon afterwards
+// and must not delay the callers of other upstreams.
 func (a *agentView) mayLive(now time.Duration) bool {
 	switch {
 	case a.holdsNone():
--- a/datagram/balancer.go
+++ b/datagram/balancer.go
@@ -7,8 +7,8 @@
 	"pomeloway.example/pomeloway/link"
 )
 
-// BalancerOutput sends what a balancer decides. Buffers are the balancer's own
-// again when a call returns.
+// BalancerOutput sends a balancer's packets and messages. The balancer may reuse a buffer
+// as soon as the call returns.
 type BalancerOutput interface {
 	// ToProcess sends a message to the agent or balancer at the address.
 	ToProcess(ip IP, m []byte)
@@ -16,8 +16,8 @@
 	ToCaller(ip IP, p []byte)
 }
 
-// Balancer spreads callers' datagrams over agents. It remembers flows only to
-// save steps: all that it forgets, the agents and their upstreams know.
+// Balancer distributes callers' datagrams over agents. It keeps flows only as a cache;
+// whatever it loses can be recovered from the agents and their upstreams.
 type Balancer struct {
 	Self   IP
 	Life   Life
@@ -27,30 +27,30 @@
 	Keys   link.Keys
 	Log    *Log
 	Count  BalancerCounts
-	// Placement is how it chooses among agents.
+	// Placement is the algorithm that chooses among equally suitable agents.
 	Placement Placement
-	// Observe takes times, if not nil.
+	// Observe, if not nil, receives the measured durations.
 	Observe observer
-	// LookupRate bounds the messages of lookups a second; 0 means lookupUsual.
+	// LookupRate limits the messages per second that lookups send; 0 means the default.
 	LookupRate float64
-	// Detached says that the store does not answer.
+	// Detached is set while the store does not answer.
 	Detached bool
-	// Behind is called when another process has a newer configuration.
+	// OnNewerConfiguration is called when another process has a newer configuration.
 	Behind func(from IP, v Version)
 
 	config       *Configuration
 	out          map[ZoneKey]bool
 	revision     uint64
 	leaving      bool
-	settled      bool          // the records were read in this life
-	agentHeard   time.Duration // when an agent was heard last
-	apartAt      time.Duration // when it was cut off last, or stood still; 0: never
-	atWork, woke time.Duration // when this process last did something, and when after a pause
+	settled      bool          // the member records were read since this process started
+	agentHeard   time.Duration // when the last message of any agent arrived
+	apartAt      time.Duration // when it was last isolated, or resumed after a pause; 0: never
+	atWork, woke time.Duration // when this process last did something, and when it resumed after a pause
 	lookedAround time.Duration
-	isolated     bool // when it looked around last, it was cut off
+	isolated     bool // result of the last check whether it is cut off
 	agents       agents
 	peers        map[IP]*peerView
-	shown        int // peers shown to others so far
+	shown        int // position in the sorted peers from which the next status lists them
 	flows        table[place]
 	openings     openings
 	homes        homeSet
@@ -60,31 +60,32 @@
 	scratch      [2048]byte
 }
 
-// BalancerCounts count decisions.
+// BalancerCounts counts a balancer's decisions.
 type BalancerCounts struct {
 	Openings, Opened, Refused, Unanswered, Resets, NoRoute, NoAgent uint64
 	Packets, Lookups, Asked, NotFound, Cut, BadMessages, BadPackets uint64
-	// Entries are flows that this home was told of, Resends requests to be told again,
-	// Located answers to other balancers.
+	// Entries is the number of flows registered at this home, Resends the number of
+	// requests to register them again, Located the number of lookups answered for other
+	// balancers.
 	Entries, Resends, Located uint64
 }
 
-// place is where a flow is, or is being opened.
+// flowLocation is the agent that holds a flow, or the attempt to open it.
 type place struct {
-	agent   IP     // 0: not known
-	opening uint32 // 0: it is open
-	sent    uint32 // the sequence number of the caller's data that came last
+	agent   IP     // 0: unknown
+	opening uint32 // 0: the flow is open
+	sent    uint32 // sequence number of the caller's latest data
 }
 
 const (
-	// placesTurn is over the longest pause of a flow, so that a place lives as
-	// long as its flow is used.
+	// locationTableTurn exceeds the longest pause within a flow, so that a location is kept
+	// as long as its flow is in use.
 	placesTurn = 30 * time.Second
-	// placesMost bounds the memory of a balancer; a flow beyond it costs a lookup.
+	// maxLocations bounds a balancer's memory; every flow beyond it costs a lookup.
 	placesMost = 200_000
 )
 
-// Start prepares the balancer; its exported fields are set before.
+// Start initializes the balancer. Its exported fields must be set before.
 func (b *Balancer) Start() {
 	b.out = map[ZoneKey]bool{}
 	b.agents = newAgents()
@@ -101,7 +102,8 @@
 	b.lookups.budget.fill(b.LookupRate)
 }
 
-// Configured returns the version in force, 0 before the first.
+// ConfigurationVersion returns the version of the current configuration, or 0 if there is
+// none.
 func (b *Balancer) Configured() Version {
 	if b.config == nil {
 		return 0
@@ -109,10 +111,11 @@
 	return b.config.Version
 }
 
-// SetConfiguration brings the configuration into force unless a newer one is.
+// SetConfiguration applies the configuration unless the current one is newer, and reports
+// whether it did.
 //
-// A read that was answered late, or by a store that is behind, would bring an
-// older configuration back; it shows as a lower version, and versions only grow.
+// A store read that is answered late, or by a store that lags behind, returns an older
+// configuration. It is recognized by its lower version, because versions only grow.
 func (b *Balancer) SetConfiguration(c *Configuration) bool {
 	if b.config != nil && c.Version <= b.config.Version {
 		return false
@@ -121,8 +124,8 @@
 	return true
 }
 
-// SetZonesOut takes in which availability zones are out as of a revision, unless
-// a later revision is known.
+// SetZonesOut applies the evacuated availability zones of a revision unless a later
+// revision is known, and reports whether they changed.
 func (b *Balancer) SetZonesOut(zs []ZoneKey, revision uint64, now time.Duration) bool {
 	if revision <= b.revision {
 		return false
@@ -140,8 +143,8 @@
 	return true
 }
 
-// SetMembers takes in the members as recorded; settled says that they were read
-// in this life and not up to some seconds before.
+// SetMembers applies the recorded members. Settled is true if they were read since this
+// process started, rather than up to some seconds before.
 func (b *Balancer) SetMembers(ms []Member, settled bool, now time.Duration) {
 	b.settled = b.settled || settled
 	b.agents.record(ms, now)
@@ -153,7 +156,7 @@
 	b.tellNew(now)
 }
 
-// Leave says that the balancer is about to stop.
+// Leave announces that the balancer is about to stop.
 func (b *Balancer) Leave(now time.Duration) {
 	b.leaving = true
 	b.tell(now)
@@ -164,7 +167,7 @@
 	return !b.leaving && b.config != nil && len(b.agents.byIP) > 0 && !b.isolated
 }
 
-// HandleCaller takes the datagram at m[HeaderLen:] that a caller sent.
+// HandleCaller processes the datagram at m[HeaderLen:], which a caller sent.
 func (b *Balancer) HandleCaller(m []byte, now time.Duration) {
 	b.noticePause(now)
 	p, ok := b.Format.Parse(m[HeaderLen:])
@@ -187,9 +190,9 @@
 	b.look(m, p, 0, now)
 }
 
-// unanswered reports whether the caller repeats itself on a flow whose agent is not
-// heard, so that the flow is to be looked for. Callers do not repeat themselves on the
-// flows of an agent that is only not heard, as packets pass one way alone.
+// needsLookup reports whether the caller retransmits on a flow whose agent is not
+// reachable, so that the flow must be looked up. If only the packets from the agent to this
+// balancer are lost, the caller still receives answers and does not retransmit.
 func (b *Balancer) unanswered(p Packet, at place, ip IP, now time.Duration) bool {
 	if p.Length == 0 {
 		return false
@@ -203,7 +206,8 @@
 	return a == nil || !a.reachable(now)
 }
 
-// notMine takes a packet back from the agent at which its flow was remembered.
+// handleNotMine processes a packet that was returned by the agent at which its flow was
+// cached.
 func (b *Balancer) notMine(from IP, m []byte, h Message, now time.Duration) {
 	p, ok := b.Format.Parse(m[HeaderLen:])
 	if !ok {
@@ -214,7 +218,7 @@
 		b.flows.remove(p.Flow)
 	}
 	if h.Flags.has(FlagUnsure) {
-		from = 0 // it does not know
+		from = 0 // the agent can't tell whether the flow is gone
 	}
 	b.look(m, p, from, now)
 	if l := b.lookups.byFlow[p.Flow]; l != nil {
@@ -222,9 +226,9 @@
 	}
 }
 
-// agentAt returns the agent that a flow is remembered at, or that is being asked to
-// open it: a caller's first packet can overtake the agent's word that the flow is
-// open. It is 0 if there is none.
+// agentFor returns the agent that holds the flow or is being asked to open it, or 0 if
+// there is none. The second case matters because a caller's first packet can overtake the
+// agent's message that the flow is open.
 func (b *Balancer) agentAt(at place) IP {
 	if at.opening == 0 {
 		return at.agent
@@ -240,7 +244,7 @@
 	b.Out.ToProcess(to, m)
 }
 
-// HandleMessage takes a message of an agent or a balancer.
+// HandleMessage processes a message from an agent or another balancer.
 func (b *Balancer) HandleMessage(from IP, m []byte, now time.Duration) {
 	var h Message
 	p, ok := h.Get(m, b.Keys)
@@ -280,7 +284,7 @@
 	}
 }
 
-// Tick does what is due and returns when it wants to be called again.
+// Tick does the work that is due and returns when it must be called again.
 func (b *Balancer) Tick(now time.Duration) time.Duration {
 	b.noticePause(now)
 	b.lookAround(now)
--- a/datagram/bench_test.go
+++ b/datagram/bench_test.go
@@ -9,14 +9,14 @@
 	"pomeloway.example/pomeloway/link"
 )
 
-// quiet is an output that keeps nothing.
+// discardOutput discards what it is given and counts it.
 type quiet struct{ n int }
 
 func (q *quiet) ToProcess(IP, []byte) { q.n++ }
 func (q *quiet) ToCaller(IP, []byte)  { q.n++ }
 func (q *quiet) ToUpstream([]byte)    { q.n++ }
 
-// heardAt is when packets of benchmarks come, while all agents are heard.
+// benchTime is when the packets of benchmarks arrive. At that time no agent is silent.
 const heardAt = 1500 * time.Millisecond
 
 func benchBalancer(tb testing.TB, ks link.Keys) (*Balancer, []byte) {
@@ -44,7 +44,7 @@
 	return a, m
 }
 
-// Guards against allocations on the path of a packet.
+// Guards against memory allocations in the processing of a packet.
 func TestPathOfAPacketDoesNotAllocate(t *testing.T) {
 	ks := testKeys(t)
 	b, m := benchBalancer(t, ks)
@@ -57,7 +57,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if n := testing.AllocsPerRun(1000, f); n > 0 {
-				t.Errorf("%v allocations a packet", n)
+				t.Errorf("%v allocations per packet, want 0", n)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-// BenchmarkFlowMemory reports what a remembered flow takes, at four sizes.
+// BenchmarkFlowMemory reports the memory per stored flow, at four table sizes.
 func BenchmarkFlowMemory(b *testing.B) {
 	for _, n := range []int{10_000, 20_000, 40_000, 80_000} {
 		flow := func(i int) Flow { return Flow{Caller: Endpoint{IP(i >> 8), uint16(i)}, Address: Endpoint{2, 443}} }
@@ -120,8 +120,9 @@
 	}
 }
 
-// BenchmarkLocate answers a lookup as a home, among 400 balancers: with the look at all
-// agents that is made at most each coverageFor, and without.
+// BenchmarkLocate measures the answer of a home to a lookup, in a fleet of 400 balancers:
+// with the pass over all agents that computes the directory's coverage (at most once per
+// coverageFor), and without it.
 func BenchmarkLocate(b *testing.B) {
 	for _, n := range []int{10, 250, 2400} {
 		x, _ := benchBalancer(b, testKeys(b))
@@ -135,7 +136,7 @@
 			x.agents.hear(ip+1, AgentStatus{Life: Life(ip + 1), Sequence: 2, Service: 7, State: UpstreamReady, KnowsAll: true, Homes: x.homes.digest}, time.Second)
 		}
 		p := appendFlow(nil, testFlow(9))
-		for name, look := range map[string]bool{"looking": true, "not looking": false} {
+		for name, look := range map[string]bool{"computing coverage": true, "coverage cached": false} {
 			b.Run(fmt.Sprintf("%d agents, %s", n, name), func(b *testing.B) {
 				for b.Loop() {
 					if look {
@@ -151,7 +152,7 @@
 	}
 }
 
-// heapOf returns the heap that what f makes takes, for each of n.
+// heapOf returns the heap memory retained by the result of f, divided by n.
 func heapOf(n int, f func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/datagram/cadence.go
+++ b/datagram/cadence.go
@@ -8,42 +8,50 @@
 	"pomeloway.example/pomeloway/fleet"
 )
 
-// How often members tell each other how they are.
+// Intervals of the statuses that members send each other.
 //
-// On a small site everybody tells everybody each StatusEvery. That grows with the
-// square of the fleet, so on a large one each agent tells some balancers as often,
-// chosen by rendezvous, and the others seldom; changes go to all at once. The near
-// ones say who fell silent. What is heard seldom is used as late as it is: an
-// agent that is dead is found by the first opening that it leaves unanswered.
-// Given up: loads that are fresh everywhere; answers to openings carry them too.
+// In a small fleet every member sends its status to every other one each StatusInterval.
+// The cost of this grows with the square of the fleet size. In a large fleet an agent
+// therefore sends its status as often only to some balancers, called near, which rendezvous
+// hashing selects, and seldom to the others, called far. Changes are sent to all at once.
+// Near balancers report agents that become silent. A rarely updated status is used at
+// whatever age it has: an agent that is dead is detected by the first opening that it
+// leaves unanswered. The drawback is that most loads are outdated; answers to openings
+// carry the load too.
 
 const (
-	// StatusEvery is how often an agent says how it is to balancers near it, and a
-	// balancer what is in force.
+	// StatusInterval is the time between an agent's statuses to near balancers, and between
+	// a balancer's statuses.
 	StatusEvery = 250 * time.Millisecond
-	// LargeEvery is the same on a large fleet.
+	// LargeFleetInterval replaces StatusInterval in a large fleet.
 	LargeEvery = 2 * StatusEvery
-	// greetEvery is within what a newcomer is told again, a status later than LargeEvery,
-	// so that an agent that dies just after its greeting is found as soon as others.
+	// initialStatusInterval is the announced time until the status that follows the first
+	// one to a new receiver. It exceeds LargeFleetInterval by the delay of a status, so
+	// that an agent that dies right after its first status is detected as quickly as
+	// others.
 	greetEvery = LargeEvery + 100*time.Millisecond
-	// nearAgents is how many agents tell one balancer each LargeEvery on a large fleet.
+	// nearAgentsPerBalancer is the average number of agents to which a balancer is near in
+	// a large fleet.
 	nearAgents = 8
-	// smallAgents and smallBalancers bound a site on which all are near, so that a node's
-	// share of control traffic stays within its limit.
+	// smallFleetAgents and smallFleetBalancers limit a fleet in which all members are near
+	// each other, so that a node's share of the control traffic stays within its limit.
 	smallAgents    = 16
 	smallBalancers = 10
-	// nearLeast are told in any fleet, so that one death leaves two.
+	// minNear is the number of near balancers of an agent in any fleet, so that two remain
+	// if one dies.
 	nearLeast = 3
-	// nearPeers is how many other balancers a balancer tells as often on a large fleet.
+	// nearPeers is the number of other balancers to which a balancer is near in a large
+	// fleet.
 	nearPeers = 4
-	// farRate is how many messages a second one receiver gets from all that are far from
-	// it.
+	// farMessagesPerSecond is the number of messages per second that one receiver gets from
+	// all members that are far from it.
 	farRate = 20
-	// farLeast keeps those that are far on a middling site as fresh as is cheap.
+	// minFarInterval is as short as is cheap in a medium fleet, so that the far members'
+	// statuses stay fresh there.
 	farLeast = 2 * time.Second
 )
 
-// nearEvery is how often those that are near are told.
+// nearInterval returns the time between statuses to near members.
 func nearEvery(agents, balancers int) time.Duration {
 	if agents <= smallAgents && balancers <= smallBalancers {
 		return StatusEvery
@@ -51,7 +59,7 @@
 	return LargeEvery
 }
 
-// nearCount is how many balancers are near an agent.
+// nearBalancerCount returns the number of balancers that are near an agent.
 func nearCount(agents, balancers int) int {
 	if agents <= smallAgents && balancers <= smallBalancers {
 		return balancers
@@ -59,7 +67,7 @@
 	return max(nearLeast, nearAgents*balancers/max(agents, 1))
 }
 
-// nearPeerCount is how many other balancers are near one.
+// nearPeerCount returns the number of other balancers that are near a balancer.
 func nearPeerCount(peers int) int {
 	if peers <= smallBalancers {
 		return peers
@@ -67,12 +75,14 @@
 	return nearPeers
 }
 
-// farEvery is how often the others are told, in a fleet with so many senders.
+// farInterval returns the time between statuses to far members, given the number of senders
+// in the fleet.
 func farEvery(senders int) time.Duration {
 	return max(farLeast, time.Duration(senders)*time.Second/farRate)
 }
 
-// nearest returns the n addresses that the key ranks first, or all.
+// highestRanked returns the n addresses that rank highest for the key, or all if there are
+// fewer. It may reorder ips.
 func nearest(key uint64, ips []IP, n int) []IP {
 	if n >= len(ips) {
 		return ips
@@ -81,5 +91,6 @@
 	return ips[:n]
 }
 
-// score ranks an address for a key, alike in every process.
+// score returns the rendezvous hashing weight of an address for a key, which is the same in
+// every process.
 func score(key uint64, ip IP) uint64 { return fleet.Mix(key, fleet.Mix(uint64(ip), 0)) }
--- a/datagram/config.go
+++ b/datagram/config.go
@@ -6,7 +6,7 @@
 	"pomeloway.example/pomeloway/fleet"
 )
 
-// ServiceKey is the hash of a service's name, which all processes share.
+// ServiceKey is the hash of a service's name, which is the same in every process.
 type ServiceKey uint64
 
 // ZoneKey is the hash of an availability zone's name.
@@ -18,33 +18,34 @@
 // ZoneKeyOf returns the key of the availability zone's name.
 func ZoneKeyOf(name string) ZoneKey { return ZoneKey(fleet.HashOf([]byte(name))) }
 
-// Version orders configurations.
+// Version identifies a configuration; newer configurations have higher versions.
 type Version uint64
 
-// Share is a part of a route's new flows.
+// Share is the weight of a service among the new flows of a route.
 type Share struct {
 	Service ServiceKey
 	Weight  uint64
 }
 
-// Route says which services take the flows to an address.
+// Route distributes the flows to an address over services.
 type Route struct {
 	Shares []Share
-	// Urgent: its requests go before those of another route of the same service.
+	// Urgent: its requests take precedence over those of other routes to the same service.
 	Urgent bool
-	// Aim is within what its requests are to be answered; 0 if it has none.
+	// TargetLatency is the time within which its requests are to be answered; 0 if there is
+	// none.
 	Aim time.Duration
 }
 
-// Service is what the configuration says of a service.
+// Service is the configuration of a service.
 type Service struct {
 	Name string
-	// ColdRate is how many new flows a second an upstream in cold start bears;
-	// 0 means that cold start is no limit.
+	// ColdRate is the number of new flows per second that an upstream in cold start can
+	// take; 0 means that cold start imposes no limit.
 	ColdRate float64
 }
 
-// Configuration is what operators have brought into force.
+// Configuration is the set of routes and services that operators have put into effect.
 type Configuration struct {
 	Version     Version
 	Routes      map[Endpoint]Route
@@ -52,7 +53,8 @@
 	IdleTimeout time.Duration
 }
 
-// pick returns the service that takes the new flow with the hash.
+// pickService returns the service that receives the new flow with the hash. It is false if
+// no service has a weight.
 func (r Route) pick(hash uint64) (ServiceKey, bool) {
 	var total uint64
 	for _, s := range r.Shares {
@@ -71,5 +73,5 @@
 	return 0, false
 }
 
-// routeSalt keeps the choice of the service apart from that of the agent.
+// routeSalt makes the choice of the service independent of the choice of the agent.
 const routeSalt = 0x726f757465
--- a/datagram/config_test.go
+++ b/datagram/config_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against processes that share a route's flows differently, and against flows for a
-// service without weight.
+// Guards against processes that distribute a route's flows differently, and against flows
+// for a service of weight 0.
 func TestRouteSharesFlowsByWeight(t *testing.T) {
 	r := Route{Shares: []Share{{1, 90}, {2, 10}, {3, 0}}}
 	got := map[ServiceKey]int{}
@@ -12,20 +12,19 @@
 		s, ok := r.pick(f.hash())
 		again, _ := r.pick(f.hash())
 		if !ok || s != again {
-			t.Fatalf("flow %d: %v, then %v", i, s, again)
+			t.Fatalf("flow %d: service %v, then %v", i, s, again)
 		}
 		got[s]++
 	}
 	if got[1] < 8_800 || got[1] > 9_200 || got[3] != 0 {
-		t.Errorf("flows by service: %v", got)
+		t.Errorf("flows per service: %v, want about 9000, about 1000 and none", got)
 	}
 	if _, ok := (Route{Shares: []Share{{1, 0}}}).pick(7); ok {
-		t.Error("a route without weight leads somewhere")
+		t.Error("a route whose services have no weight chooses one")
 	}
 }
 
-// Guards against a read that was answered late and would bring an older configuration
-// back.
+// Guards against a store read that is answered late and restores an older configuration.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	b := &Balancer{}
 	b.Start()
@@ -33,6 +32,6 @@
 		b.SetConfiguration(&Configuration{Version: v + 1})
 	}
 	if b.SetConfiguration(&Configuration{Version: 2}) || b.Configured() != 3 {
-		t.Error("an older configuration came back")
+		t.Error("an older configuration replaced version 3")
 	}
 }
--- a/datagram/cutoff.go
+++ b/datagram/cutoff.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// A balancer that is cut off from the fleet may still be reached by callers and by
-// routers, and all that callers send there is lost. So a balancer that hears no agent of
-// a service, and of the other balancers fewer than half, is not ready, and refuses
-// openings of that service at once: the caller's next try has another port, and so mostly
-// another balancer. If the agents of a service have died the others are heard, and
-// openings wait for one that returns. A balancer that has no others can't tell, and stays.
+// Detection of cut-off balancers. A balancer that is cut off from the fleet may still be
+// reachable for callers and routers, and everything that callers send to it is lost. So a
+// balancer that receives from no agent of a service, and from fewer than half of the other
+// balancers, is not ready, and it refuses openings of that service at once: the caller's
+// next attempt uses another port and therefore most likely reaches another balancer. If
+// instead the agents of a service have failed, the other balancers are still received, and
+// openings wait for an agent that returns. A balancer without other balancers can't
+// distinguish the two cases and stays ready.
 
-// pauseLeast is twice the longest time between two ticks. A process that stood still
-// for longer has heard nobody for want of listening.
+// minPause is twice the longest time between two ticks. A process that was paused for
+// longer has received nothing only because it did not read.
 const pauseLeast = 2 * StatusEvery
 
-// noticePause notes when this process went on after a pause.
+// detectPause records when this process resumed after a pause.
 func (b *Balancer) noticePause(now time.Duration) {
 	if now-b.atWork > pauseLeast {
 		b.woke = now
-		if b.atWork != 0 { // it has worked before
+		if b.atWork != 0 { // not the first call
 			b.suspectAnew(now)
 			b.apartAt = now
 		}
@@ -30,18 +32,19 @@
 	return b.blind(s, now) && b.lonely(now)
 }
 
-// lookAroundEvery spaces the looks at whether the balancer is cut off. Each is at all
-// other balancers, which may be hundreds, and what is due is asked after every packet.
+// cutOffCheckInterval is the time between checks whether the balancer is cut off. Each
+// check looks at all other balancers, which may be hundreds, and the work that is due is
+// checked after every packet.
 const lookAroundEvery = 50 * time.Millisecond
 
-// lookAround notes whether the balancer is cut off from the agents of any service.
+// checkCutOff records whether the balancer is cut off from the agents of any service.
 func (b *Balancer) lookAround(now time.Duration) {
 	if now-b.lookedAround >= lookAroundEvery {
 		b.lookedAround, b.isolated = now, b.cutOffFromAny(now)
 	}
 }
 
-// cutOffFromAny reports whether it is cut off from the agents of any service.
+// cutOffFromAny reports whether the balancer is cut off from the agents of any service.
 func (b *Balancer) cutOffFromAny(now time.Duration) bool {
 	if !b.lonely(now) {
 		return false
@@ -54,12 +57,13 @@
 	return false
 }
 
-// blind reports whether agents of the service were heard, and none of them lately. Those
-// that are far may speak more seldom; of many some speak in time.
+// lostAgents reports whether the balancer has received statuses from agents of the service,
+// but none recently. Far agents may send less often, but among many of them some send in
+// time.
 func (b *Balancer) blind(s ServiceKey, now time.Duration) bool {
-	known, lately := false, b.lonelyAfter()
+	known, limit := false, b.lonelyAfter()
 	for _, a := range b.agents.byService[s] {
-		if a.reachable(now) && now-a.heard <= lately {
+		if a.reachable(now) && now-a.heard <= limit {
 			return false
 		}
 		known = known || a.heard != 0
@@ -67,27 +71,28 @@
 	return known
 }
 
-// lonely reports whether fewer than half of the balancers that were heard in the last
-// half minute are heard still. After a pause it is not, until others had time to speak.
+// lostPeers reports whether fewer than half of the balancers that have sent a status in the
+// last half minute still send them. After a pause it is false until the others have had
+// time to send.
 func (b *Balancer) lonely(now time.Duration) bool {
 	after := b.lonelyAfter()
 	if now-b.woke < after {
 		return false
 	}
-	known, heard := 0, 0
+	known, recent := 0, 0
 	for _, p := range b.peers {
 		if p.heard == 0 {
 			continue
 		}
 		if known++; now-p.heard < after {
-			heard++
+			recent++
 		}
 	}
-	return 2*heard < known
+	return 2*recent < known
 }
 
-// lonelyAfter is how long others may be silent before the balancer looks whether half of
-// them are. Where most are far one status of each is enough, as they are many.
+// peerLossTimeout is the time after which a balancer counts as lost in lostPeers. Where
+// most balancers are far, one missed status of each is enough, because they are many.
 func (b *Balancer) lonelyAfter() time.Duration {
 	if nearPeerCount(len(b.peers)) < len(b.peers) {
 		return farEvery(len(b.peers)+1) + 2*StatusEvery + silentDelay
@@ -95,12 +100,12 @@
 	return b.peerSilentAfter()
 }
 
-// peerSilentAfter is how long another balancer may be silent before it counts as
-// gone: as agents are given, by how often balancers tell each other.
+// peerTimeout is how long another balancer may be silent before it is considered gone. As
+// for agents, it depends on the status interval between balancers.
 func (b *Balancer) peerSilentAfter() time.Duration {
-	every := nearEvery(len(b.agents.byIP), len(b.peers)+1)
+	interval := nearEvery(len(b.agents.byIP), len(b.peers)+1)
 	if nearPeerCount(len(b.peers)) < len(b.peers) {
-		every = farEvery(len(b.peers) + 1)
+		interval = farEvery(len(b.peers) + 1)
 	}
-	return max(silentStatuses*every, silentLeast) + silentDelay
+	return max(silentStatuses*interval, silentLeast) + silentDelay
 }
--- a/datagram/decisions_test.go
+++ b/datagram/decisions_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// sent collects what a balancer or an agent sends; it is both their outputs.
+// recorder is an output for balancers and agents that records what they send.
 type sent struct {
-	process  []Message // but those of membership
+	process  []Message // without statuses and requests for resends
 	to       []IP
-	verified []IP // who was asked to tell everything again
+	verified []IP // receivers of requests for resends
 	caller   int
 	upstream int
 	keys     func(*Message, []byte) bool
@@ -38,7 +38,7 @@
 	return &sent{keys: func(m *Message, b []byte) bool { _, ok := m.Get(b, ks); return ok }}
 }
 
-// plain is a format whose packets are a kind byte, a flow and a number.
+// plainFormat is a format whose packets consist of a kind byte, a flow and a payload.
 type plain struct{}
 
 const (
@@ -74,7 +74,8 @@
 // testSelf is the address of the balancer under test.
 const testSelf IP = 100
 
-// testBalancer has agents 1 to n of service 7, all heard at the time.
+// testBalancer returns a balancer that has received a status from each of the agents 1 to n
+// of service 7 at the given time, and the recorder of its output.
 func testBalancer(t *testing.T, n int, now time.Duration) (*Balancer, *sent) {
 	s := newSent(t)
 	b := &Balancer{Self: testSelf, Format: plain{}, Out: s, Keys: testKeys(t)}
@@ -90,14 +91,14 @@
 	return b, s
 }
 
-// Guards against a change of the store that nobody learns of, as those who are to look for
-// it are the ones that the store does not answer.
+// Guards against a change in the store that no balancer notices, because the balancers
+// selected to watch the store are those that the store does not answer.
 func TestDutiesOfTheStoreGoToThoseThatItAnswers(t *testing.T) {
 	for name, x := range map[string]struct{ detached, attachedOnDuty, detachedOnDuty int }{
-		"all are answered": {0, 3, 0},
-		"some are not":     {4, 3, 0},
-		"two are answered": {5, 2, 1},
-		"none is answered": {7, 0, 3},
+		"store answers all balancers": {0, 3, 0},
+		"store answers three":         {4, 3, 0},
+		"store answers two":           {5, 2, 1},
+		"store answers none":          {7, 0, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			on := map[bool]int{}
@@ -115,13 +116,14 @@
 				}
 			}
 			if on[false] != x.attachedOnDuty || on[true] != x.detachedOnDuty {
-				t.Errorf("on duty: %d that the store answers, %d that it does not", on[false], on[true])
+				t.Errorf("selected %d balancers that the store answers and %d that it does not", on[false], on[true])
 			}
 		})
 	}
 }
 
-// Guards against records of dead VMs that stay, and the removal of one that lives.
+// Guards against records of dead VMs that are kept, and against the removal of a live
+// member's record.
 func TestOneBalancerRemovesTheRecordsOfTheDead(t *testing.T) {
 	start := 20 * time.Second
 	now := start + reapAfter + time.Second
@@ -136,18 +138,18 @@
 		}
 		b.agents.hear(1, AgentStatus{Life: 1, Sequence: 2, Service: 7, State: UpstreamReady}, now)
 		if early := b.Reap(ms, start+time.Second); len(early) > 0 {
-			t.Errorf("removed %v after a second", early)
+			t.Errorf("removed the records of %v after one second", early)
 		}
 		for _, ip := range b.Reap(ms, now) {
 			removed[ip]++
 		}
 	}
 	if len(removed) != 2 || removed[2] != 1 || removed[9] != 1 {
-		t.Errorf("removed %v, want 2 and 9 once each", removed)
+		t.Errorf("removals per record: %v, want one each of 2 and 9", removed)
 	}
 }
 
-// Guards against a process that ends by an odd message under the fleet's own key.
+// Guards against a process that crashes on a malformed message with a valid tag.
 func TestOddMessagesEndNothing(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 2, now)
--- a/datagram/log.go
+++ b/datagram/log.go
@@ -8,7 +8,7 @@
 	"pomeloway.example/pomeloway/events"
 )
 
-// decision is one line about a flow, with what decided it.
+// decision is one log line about a flow, with the inputs of the decision.
 type decision struct {
 	event   events.ID
 	flow    Flow
@@ -17,24 +17,24 @@
 	hop     uint8
 	class   class
 	version Version
-	// age is that of the input that decided: a status, or the attempt before.
+	// age is the age of the decisive input: a status, or the previous attempt.
 	age     time.Duration
 	request string
 }
 
-// Log writes decisions of one process. Its zero value writes nothing.
+// Log writes the decisions of one process to the event log. Its zero value writes nothing.
 type Log struct {
 	Log *events.Log
-	// Most bounds the lines of flows a second; the others are counted.
+	// MaxLines limits the lines about flows per second; further ones are only counted.
 	Most int
 
 	second time.Duration
 	lines  int
-	// Left is how many lines were left out.
+	// LeftOut is the number of lines that exceeded the limit.
 	Left uint64
 }
 
-// decide writes a decision unless the second's share is used up.
+// decide logs a decision unless the limit for this second is reached.
 func (l *Log) decide(d decision, now time.Duration) {
 	if l == nil || l.Log == nil {
 		return
@@ -59,8 +59,8 @@
 	return netip.AddrPortFrom(ip.Addr(), 0)
 }
 
-// agentChanged logs what a balancer believes of an agent, with the doubt if any, how old
-// its last status is and how often it said that it sends one.
+// agentChanged logs an agent's state as a balancer knows it, with the cause of the doubt if
+// there is one, the age of the agent's last status and the interval that it announced.
 func (l *Log) agentChanged(a *agentView, doubt string, now time.Duration) {
 	if l == nil || l.Log == nil {
 		return
@@ -71,8 +71,8 @@
 		slog.Duration("age", now-a.heard), slog.Duration("every", s.Every.Duration()))
 }
 
-// nearChanged logs to how many balancers an agent sends its status often, of how many, in
-// a fleet of so many agents.
+// nearChanged logs the number of near balancers of an agent, of all balancers, and of
+// agents in the fleet.
 func (l *Log) nearChanged(near, balancers, agents int) {
 	if l == nil || l.Log == nil {
 		return
@@ -80,7 +80,7 @@
 	l.Log.Add(events.NearChanged, slog.Int("near", near), slog.Int("balancers", balancers), slog.Int("agents", agents))
 }
 
-// entriesMissing logs that an agent is asked for its flows again.
+// entriesMissing logs that an agent is asked to send its flows again.
 func (l *Log) entriesMissing(ip IP, life Life) {
 	if l == nil || l.Log == nil {
 		return
@@ -90,7 +90,7 @@
 
 var upstreamStateNames = [upstreamStateEnd]string{"unknown", "ready", "draining", "gone", "silent", "absent"}
 
-// String returns the state as it stands in the log.
+// String returns the state as it appears in the log.
 func (s UpstreamState) String() string {
 	if s >= upstreamStateEnd {
 		return "invalid"
--- a/datagram/observe.go
+++ b/datagram/observe.go
@@ -2,27 +2,30 @@
 
 import "time"
 
-// Observation is a time that operators look at.
+// Observation identifies a duration that is exported as a metric.
 type Observation uint8
 
 // Observations.
 const (
-	// ObserveOpening: from a caller's opening at a balancer until an upstream accepted.
+	// ObserveOpening: from the arrival of a caller's opening at a balancer until an
+	// upstream accepted it.
 	ObserveOpening Observation = iota
-	// ObserveHandshake: from an opening given to the upstream until it accepted.
+	// ObserveHandshake: from passing an opening to the upstream until the upstream accepted
+	// it.
 	ObserveHandshake
-	// ObserveRequest: from a request's first packet until the first of its answer.
+	// ObserveRequest: from the first packet of a request until the first packet of its
+	// answer.
 	ObserveRequest
-	// ObservationCount is how many there are.
+	// ObservationCount is the number of observations.
 	ObservationCount
 )
 
 var observationNames = [ObservationCount]string{"opening", "handshake", "request"}
 
-// String returns the name of its metric.
+// String returns the name of the observation's metric.
 func (o Observation) String() string { return observationNames[o] }
 
-// observer takes observations; nil takes none.
+// observer receives durations; a nil observer ignores them.
 type observer func(Observation, time.Duration)
 
 func (f observer) note(o Observation, d time.Duration) {
@@ -46,7 +49,7 @@
 	Ready         bool           `json:"ready"`
 }
 
-// Status returns what the balancer knows and has done.
+// Status returns the balancer's state and counts.
 func (b *Balancer) Status(now time.Duration) BalancerState {
 	s := BalancerState{
 		Counts: b.Count, Version: b.Configured(), Revision: b.revision, ZonesOut: len(b.out), Flows: b.flows.len(),
@@ -81,7 +84,7 @@
 	LinesLeft uint64      `json:"linesLeftOut"`
 }
 
-// Status returns what the agent knows and has done.
+// Status returns the agent's state and counts.
 func (a *Agent) Status(time.Duration) AgentState {
 	s := AgentState{
 		Counts: a.Count, Upstream: a.upstream.id, State: a.upstream.state.String(), Known: a.flows.len(), Open: a.open,
--- a/datagram/peers.go
+++ b/datagram/peers.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// peerView is what a balancer knows of another.
+// peerView is a balancer's knowledge of another balancer.
 type peerView struct {
 	life        Life
-	noted       time.Duration // when it was known first
-	heard, told time.Duration // 0: never
-	detached    bool          // the store does not answer it
+	noted       time.Duration // when it became known
+	heard, told time.Duration // last status received from it and sent to it; 0: never
+	detached    bool          // it reports that the store does not answer it
 	differs     difference
 }
 
 func (p *peerView) lastSign() time.Duration { return max(p.noted, p.heard) }
 
-// Peers returns the balancers that were heard lately.
+// Peers returns the known balancers that have sent a status.
 func (b *Balancer) Peers() []IP {
 	var ips []IP
 	for ip, p := range b.peers {
@@ -29,9 +29,10 @@
 	return ips
 }
 
-// Among reports whether this is one of the n balancers that rendezvous chooses of those
-// that are heard, for duties that few are enough for. Those that the store answers are
-// chosen first, as all these duties are for it.
+// IsSelected reports whether this balancer is one of the n that perform a duty that does
+// not need every balancer. Rendezvous hashing selects them among the live balancers.
+// Balancers that the store answers are selected first, because all these duties use the
+// store.
 func (b *Balancer) Among(n int, now time.Duration) bool {
 	var attached, detached []IP
 	for _, ip := range b.heard(now) {
@@ -46,18 +47,19 @@
 	return contains(chosen, b.Self)
 }
 
-// dutyKey is any number that all balancers share.
+// selectionKey is an arbitrary number that is the same on all balancers.
 const dutyKey = 0x64757479
 
-// updateHomes works out which balancers are homes.
+// updateHomes recomputes the balancers that are homes.
 func (b *Balancer) updateHomes(now time.Duration) {
 	b.homes = newHomeSet(b.heardWithin(homeSilentAfter(len(b.peers)+1), now))
 }
 
-// heard returns this balancer and those that it has heard lately.
+// aliveBalancers returns this balancer and those whose statuses arrive.
 func (b *Balancer) heard(now time.Duration) []IP { return b.heardWithin(b.peerSilentAfter(), now) }
 
-// heardWithin returns this balancer and those that it has heard within the time.
+// balancersSeenWithin returns this balancer and those whose last status arrived within the
+// given time.
 func (b *Balancer) heardWithin(after, now time.Duration) []IP {
 	ips := []IP{b.Self}
 	for ip, p := range b.peers {
@@ -76,15 +78,15 @@
 		return
 	}
 	suspected := b.agents.suspects(from)
-	born, changed := b.agents.hear(from, s, now)
+	restarted, changed := b.agents.hear(from, s, now)
 	switch a := b.agents.byIP[from]; {
 	case suspected && a.suspicion.since == 0:
 		b.Log.agentChanged(a, "lifted", now)
 	case changed:
 		b.Log.agentChanged(a, "", now)
 	}
-	if a := b.agents.byIP[from]; born && (s.Epoch == 0 || a.toldStatus == 0) {
-		b.tellOne(from, now) // it has not heard this balancer
+	if a := b.agents.byIP[from]; restarted && (s.Epoch == 0 || a.toldStatus == 0) {
+		b.tellOne(from, now) // it has not received a status of this balancer
 	}
 	if a := b.agents.byIP[from]; a != nil && a.status.Life == s.Life && a.status.Sequence == s.Sequence {
 		if len(ips) > 0 {
@@ -106,7 +108,7 @@
 	p.detached = s.Detached
 	if p.heard = now; p.life != s.Life {
 		p.life = s.Life
-		b.tellOne(from, now) // it has just started and knows few
+		b.tellOne(from, now) // it has just started and knows few processes
 		b.updateHomes(now)
 	}
 	for _, ip := range s.Balancers {
@@ -121,19 +123,21 @@
 	}
 }
 
-// difference is since when a process chooses homes among other balancers.
+// homesMismatch records since when another process uses a home set that differs from this
+// balancer's, and when it was last sent a status for that reason.
 type difference struct{ since, told time.Duration }
 
-// introduceAfter lets processes that start together hear of each other by themselves,
-// and introduceEach keeps what is told for want of balancers small in a large fleet.
+// mismatchDelay gives processes that start together the time to learn of each other on
+// their own. mismatchIntervalPerAgent limits the statuses sent because of differing home
+// sets in a large fleet.
 const (
 	introduceAfter = time.Second
 	introduceEvery = 250 * time.Millisecond
 	introduceEach  = time.Millisecond
 )
 
-// introduce tells a process of the balancers if it has known others than this one for
-// long, as what it was told was lost.
+// resolveMismatch sends a process the known balancers if it has used another home set than
+// this balancer for long, because an earlier status to it was probably lost.
 func (b *Balancer) introduce(to IP, homes uint64, d *difference, now time.Duration) {
 	if homes == b.homes.digest {
 		*d = difference{}
@@ -142,14 +146,14 @@
 	if d.since == 0 {
 		d.since = now
 	}
-	every := introduceEvery + time.Duration(len(b.agents.byIP))*introduceEach
-	if now-d.since >= introduceAfter && (d.told == 0 || now-d.told >= every) {
+	interval := introduceEvery + time.Duration(len(b.agents.byIP))*introduceEach
+	if now-d.since >= introduceAfter && (d.told == 0 || now-d.told >= interval) {
 		d.told = now
 		b.tellOne(to, now)
 	}
 }
 
-// meet notes a balancer and reports whether it was not known.
+// addPeer adds a balancer and reports whether it was unknown.
 func (b *Balancer) meet(ip IP, now time.Duration) bool {
 	if _, known := b.peers[ip]; known || ip == b.Self || ip == 0 {
 		return false
@@ -158,12 +162,12 @@
 	return true
 }
 
-// Reap returns which of the recorded members are dead, as far as this balancer can
-// tell, and are its to remove from the records: each dead member has one balancer
-// that does so, chosen by rendezvous among those that are heard.
+// MembersToRemove returns the recorded members that this balancer considers dead and whose
+// records it has to remove. Rendezvous hashing assigns each dead member to one of the live
+// balancers.
 //
-// Records of VMs that died would stay for good, and each holds up the resets of flows
-// that are gone after a loss of power.
+// Otherwise the records of dead VMs would stay forever, and after a power loss each of them
+// delays the resets of flows that are gone.
 func (b *Balancer) Reap(ms []Member, now time.Duration) []IP {
 	if now < reapAfter {
 		return nil
@@ -190,8 +194,8 @@
 	return a != nil && !a.reachable(now) && now-max(a.noted, a.heard, a.suspicion.since) > reapAfter
 }
 
-// reapAfter is how long a member must be silent before its record goes: longer
-// than a VM takes to come back. One that lives writes its record again when it
+// deadMemberTimeout is how long a member must be silent before its record is removed. It is
+// longer than a VM takes to return. A member that is alive writes its record again when it
 // starts.
 const reapAfter = 10 * time.Second
 
@@ -204,7 +208,8 @@
 	}
 }
 
-// Tell sends the balancer's status to the other balancers, as it has a configuration now.
+// SendStatusToPeers sends the balancer's status to the other balancers when it has obtained
+// its first configuration.
 func (b *Balancer) Tell(now time.Duration) {
 	m := b.statusMessage(shownSome)
 	for ip, p := range b.peers {
@@ -213,8 +218,8 @@
 	}
 }
 
-// tellNew sends it to those that were never told, and again to those that were and have
-// not been heard: they may have started since.
+// sendStatusToNew sends the status to every process that has not been sent one, and again
+// to those that have sent none themselves, because they may have started since.
 func (b *Balancer) tellNew(now time.Duration) {
 	due := func(heard, noted, told time.Duration) bool {
 		return told == 0 || heard == 0 && now-noted < unheardTold && now-told >= StatusEvery
@@ -231,50 +236,52 @@
 	}
 }
 
-// unheardTold is for how long those that are not heard are told again: longer than VMs
-// take to return one after another.
+// newMemberPeriod is how long such a process is sent the status repeatedly. It is longer
+// than VMs take to return one after another.
 const unheardTold = 3 * time.Second
 
-// tell sends the balancer's status to all that it knows, as something changed.
+// broadcastStatus sends the balancer's status to all known processes after a change.
 func (b *Balancer) tell(now time.Duration) { b.tellThose(now, 0, 0) }
 
-// tellDue sends it to those that are near, and to the others in their turn.
+// sendPeriodicStatus sends the status to the near processes and to the far ones that are
+// due.
 func (b *Balancer) tellDue(now time.Duration) {
 	b.tellThose(now, nearEvery(len(b.agents.byIP), len(b.peers)+1), farEvery(len(b.peers)+1))
 }
 
-// tellThose sends it to those that are near or far and were told last so long ago.
-func (b *Balancer) tellThose(now, near, far time.Duration) {
+// sendDueStatuses sends the status to each process whose last status is older than
+// nearAfter or farAfter, depending on whether the process is near.
+func (b *Balancer) tellThose(now, nearAfter, farAfter time.Duration) {
 	b.status = now
 	m := b.statusMessage(shownSome)
 	for ip, a := range b.agents.byIP {
-		every := far
+		after := farAfter
 		if a.near() {
-			every = near
+			after = nearAfter
 		}
-		if now-a.toldStatus >= every {
+		if now-a.toldStatus >= after {
 			a.toldStatus = now
 			b.Out.ToProcess(ip, m)
 		}
 	}
-	close := nearest(uint64(b.Self), slices.Collect(maps.Keys(b.peers)), nearPeerCount(len(b.peers)))
+	nearby := nearest(uint64(b.Self), slices.Collect(maps.Keys(b.peers)), nearPeerCount(len(b.peers)))
 	for ip, p := range b.peers {
-		every := far
-		if contains(close, ip) {
-			every = near
+		after := farAfter
+		if contains(nearby, ip) {
+			after = nearAfter
 		}
-		if now-p.told >= every {
+		if now-p.told >= after {
 			p.told = now
 			b.Out.ToProcess(ip, m)
 		}
 	}
 }
 
-// shownSome is how many balancers each status names, in turn; a newcomer is
-// named as many as fit.
+// peersPerStatus is the number of balancers that each status lists, in rotation. A status
+// to a new process lists as many as fit.
 const shownSome = 4
 
-// tellOne sends it to one process, with as many balancers as fit.
+// sendStatusTo sends the status to one process, with as many balancers as fit.
 func (b *Balancer) tellOne(ip IP, now time.Duration) {
 	if a := b.agents.byIP[ip]; a != nil {
 		a.toldStatus = now
@@ -285,7 +292,7 @@
 	b.Out.ToProcess(ip, b.statusMessage(balancersMost))
 }
 
-func (b *Balancer) statusMessage(most int) []byte {
+func (b *Balancer) statusMessage(maxPeers int) []byte {
 	s := BalancerStatus{
 		Life: b.Life, Version: b.Configured(), Revision: b.revision, Leaving: b.leaving, Detached: b.Detached,
 		Agents: uint16(min(len(b.agents.byIP), math.MaxUint16)), Homes: b.homes.digest,
@@ -293,21 +300,21 @@
 	for z := range b.out {
 		s.Zones = append(s.Zones, z)
 	}
-	s.Balancers = b.some(most)
+	s.Balancers = b.some(maxPeers)
 	m := s.append(b.scratch[:HeaderLen])
 	h := Message{Kind: KindBalancer}
 	h.Put(m, b.Keys[0])
 	return m
 }
 
-// some returns so many of the known balancers, others at each call.
-func (b *Balancer) some(most int) []IP {
+// nextPeers returns up to n of the known balancers, in rotation over successive calls.
+func (b *Balancer) some(n int) []IP {
 	ips := slices.Sorted(maps.Keys(b.peers))
-	if len(ips) <= most {
+	if len(ips) <= n {
 		return ips
 	}
 	at := b.shown % len(ips)
-	b.shown += most
+	b.shown += n
 	ips = append(ips[at:], ips[:at]...)
-	return ips[:most]
+	return ips[:n]
 }
--- a/datagram/placement.go
+++ b/datagram/placement.go
@@ -6,27 +6,30 @@
 	"pomeloway.example/pomeloway/fleet"
 )
 
-// An opening goes to the less loaded of the two agents that its flow's hash ranks first,
-// among the best class that is not busy, and rather in the balancer's own availability
-// zone. Cost: a look at each agent of the service. Given up: the least loaded of all,
-// which every balancer would choose at once.
+// Placement of openings ("power of two choices"). An opening goes to the less loaded of the
+// two agents that its flow's hash ranks highest, among the agents of the best class that
+// are not busy, with a preference for the balancer's own availability zone. The cost is one
+// pass over the agents of the service. The least loaded of all agents is not used, because
+// every balancer would choose it at the same time.
 
-// Placement is how a balancer chooses among agents that it could ask as well.
+// Placement is the algorithm by which a balancer chooses among equally suitable agents.
 type Placement uint8
 
-// Placements.
+// Placement algorithms.
 const (
-	// PlaceIdler takes the less loaded of the two that the hash ranks first.
+	// PlaceByTwoChoices takes the less loaded of the two agents that the hash ranks
+	// highest.
 	PlaceIdler Placement = iota
-	// PlaceByHash takes the first, for comparisons.
+	// PlaceByHash takes the agent that the hash ranks highest. It exists for comparison.
 	PlaceByHash
 )
 
-// choose returns the agent for an opening: of the best class, the less loaded of
-// the two that the hash ranks first, and rather one of the own availability zone.
+// choose returns the agent for an opening and its class: of the best class, the less loaded
+// of the two agents that the hash ranks highest, with a preference for the own availability
+// zone.
 //
-// An agent that would decline an opening of the priority is left out; busy says whether
-// there was one.
+// Agents in tried, and agents that would decline an opening of the priority, are left out.
+// Busy reports whether there is an agent of the latter kind.
 func (x *agents) choose(hash uint64, s ServiceKey, tried []IP, p Priority, now time.Duration) (_ *agentView, _ class, busy bool) {
 	var all, near pair
 	best := classNever
@@ -49,7 +52,7 @@
 		}
 	}
 	if busy && best >= classDoubted {
-		// Room comes free sooner than one that is dead is found to be.
+		// A slot becomes free before a dead agent is detected.
 		return nil, best, true
 	}
 	if x.placement == PlaceByHash {
@@ -62,7 +65,7 @@
 	return a, best, busy
 }
 
-// pair is the two agents that a hash ranks first.
+// topTwo holds the two agents that a hash ranks highest.
 type pair struct{ first, second ranked }
 
 func (p *pair) add(r ranked) {
@@ -74,7 +77,7 @@
 	}
 }
 
-// idler returns the less loaded of the two.
+// lessLoaded returns the less loaded of the two.
 func (p *pair) idler() *agentView {
 	if p.second.agent != nil && p.second.agent.load() < p.first.agent.load() {
 		return p.second.agent
--- a/datagram/registrar.go
+++ b/datagram/registrar.go
@@ -6,49 +6,53 @@
 	"time"
 )
 
-// An agent tells the homes of each flow that it holds it, as soon as its upstream has
-// accepted: the caller's next packet takes longer to its balancer and to a home. When
-// the set of balancers changes, the flows that get another home are told there.
+// Registration of flows. An agent registers each flow at the flow's homes as soon as its
+// upstream has accepted it. The caller's next packet takes longer to reach its balancer and
+// a home, so the entry arrives first. When the set of balancers changes, the flows that get
+// a different home are registered there.
 
 const (
-	// refreshEvery is how often an agent tells of a flow again, as homes forget what
-	// nobody repeats.
+	// refreshInterval is the time after which an agent registers a flow again, because
+	// homes drop entries that are not repeated.
 	refreshEvery = 4 * time.Minute
-	// homesGather gathers balancers that start together into one change of the set.
+	// homesUpdateDelay combines balancers that start together into one change of the home
+	// set.
 	homesGather = 20 * time.Millisecond
-	// homesDelay, and homesDelayEach for each agent, gather changes of the set before
-	// all are told of the last; homesDelays bounds how often that is put off. Those that
-	// were added are told at once, and homesTells is how often all are, as datagrams
-	// are lost.
+	// homesSendDelay, plus homesSendDelayPerAgent for each agent, combines several changes
+	// of the home set before the last one is sent to all balancers; maxPostponements limits
+	// how far the sending is put off. Added balancers are sent the set at once. All are
+	// sent it homesSendCount times, because datagrams can be lost.
 	homesDelay     = 500 * time.Millisecond
 	homesDelayEach = 200 * time.Microsecond
 	homesDelays    = 2
 	homesTells     = 2
-	// homesListed bounds the sets that are listed in statuses while they change.
+	// maxHomesListed limits the size of home sets that are listed in statuses while they
+	// change.
 	homesListed = 64
-	// formerFor is how long flows are also told to the homes of an earlier set, as
-	// balancers may believe that it is in use: until all are surely told of a later one.
+	// previousHomesLifetime is how long flows are also registered at the homes of an
+	// earlier set. Balancers may assume that the earlier set is still in use, until all
+	// have received a later one.
 	formerFor = 4 * time.Second
-	// formerMost bounds the earlier sets to as many as there can be in that time.
+	// maxPreviousHomes is the largest number of earlier sets that can arise in that time.
 	formerMost = int(formerFor / homesGather)
 )
 
-// formerHomes is a set that was in use until shortly.
+// previousHomes is a home set that was in use until recently.
 type formerHomes struct {
 	homeSet
 	till time.Duration
 }
 
-// held reports whether the flow is one that homes are told of.
+// needsRegistration reports whether the flow belongs into the directories of its homes.
 func (a *Agent) held(f *flowState) bool {
 	return f.phase >= flowAccepted && !f.finished && a.isPresent(f.born)
 }
 
-// isPresent reports whether a flow that was opened in that life of the upstream, zero if
-// it is not known, may be of its present one.
+// isCurrentLife reports whether a flow that was opened in the given life of the upstream, 0
+// if unknown, may belong to the current life.
 func (a *Agent) isPresent(born int64) bool { return born == 0 || born == a.upstream.born }
 
-// register tells the flow's homes that it is here.
+// register registers the flow at its homes.
 func (a *Agent) register(k Flow, f *flowState, now time.Duration) {
 	f.registered = now
 	for _, ip := range a.homesOf(k) {
@@ -56,7 +60,7 @@
 	}
 }
 
-// homesOf returns all balancers that may be taken for homes of the flow.
+// homesOf returns all balancers that other processes may take for homes of the flow.
 func (a *Agent) homesOf(k Flow) []IP {
 	var ips []IP
 	add := func(h homes) {
@@ -73,7 +77,7 @@
 	return ips
 }
 
-// enter tells a home of flows that are here.
+// sendEntries registers flows at a home.
 func (a *Agent) enter(ip IP, ks []Flow) {
 	v := a.balancers[ip]
 	if v == nil {
@@ -92,7 +96,8 @@
 	}
 }
 
-// enterAgain tells a home of all flows that it is home of, from the beginning.
+// resendEntries starts a new epoch for a home and registers again all flows that have this
+// home.
 func (a *Agent) enterAgain(ip IP) {
 	v := a.balancers[ip]
 	if v == nil {
@@ -108,8 +113,8 @@
 	a.enter(ip, ks)
 }
 
-// updateHomes works out which balancers are homes, and tells those that became one of a
-// flow by it.
+// updateHomes recomputes the home set and registers flows at the balancers that have become
+// their homes.
 func (a *Agent) updateHomes(now time.Duration) {
 	a.homesDue = 0
 	var ips []IP
@@ -145,7 +150,7 @@
 	}
 }
 
-// tellHomes has all balancers told of a new set in a while.
+// scheduleHomesStatus schedules the statuses that send a new home set to all balancers.
 func (a *Agent) tellHomes(now time.Duration) {
 	delay := homesDelay + time.Duration(a.agents)*homesDelayEach
 	if a.homesTell == 0 {
@@ -154,12 +159,13 @@
 	a.homesTell, a.homesTells = min(now+delay, a.homesLast), homesTells
 }
 
-// forgetFormer drops the sets that nobody believes to be in use any more.
+// expirePreviousHomes drops the earlier sets that no balancer assumes to be in use any
+// more.
 func (a *Agent) forgetFormer(now time.Duration) {
 	a.former = slices.DeleteFunc(a.former, func(f formerHomes) bool { return now > f.till })
 }
 
-// refresh tells homes again of flows that they were told of long ago.
+// refreshEntries registers flows again whose last registration is long ago.
 func (a *Agent) refresh(now time.Duration) {
 	for k, f := range a.flows.all() {
 		if now-f.registered >= refreshEvery && a.held(f) {
--- a/datagram/silence_test.go
+++ b/datagram/silence_test.go
@@ -8,14 +8,14 @@
 	"pomeloway.example/pomeloway/link"
 )
 
-// promises keeps when an agent sent its status to each balancer last, and within what it
-// said that it sends the next.
+// intervalRecorder records when an agent last sent its status to each balancer, and the
+// interval that it announced there for the next one.
 type promises struct {
 	keys  link.Keys
 	now   time.Duration
 	last  map[IP]time.Duration
 	every map[IP]time.Duration
-	late  time.Duration // the most that a status was later than said
+	late  time.Duration // largest delay of a status beyond the announced interval
 }
 
 func (o *promises) ToProcess(to IP, m []byte) {
@@ -31,7 +31,7 @@
 	o.last[to], o.every[to] = o.now, s.Every.Duration()
 }
 
-// often returns how many balancers expect the agent's status often.
+// countNear returns the number of balancers that expect the agent's status often.
 func (o *promises) often() (n int) {
 	for _, e := range o.every {
 		if e <= LargeEvery {
@@ -45,12 +45,13 @@
 
 func (*promises) ToUpstream([]byte) {}
 
-// Guards against balancers that doubt an agent since it sends its status less often than
-// it said, as other balancers took their place near it or the fleet's size changed.
+// Guards against balancers that suspect an agent because it sends its status later than it
+// announced. This could happen when other balancers became near it, or when the size of the
+// fleet changed.
 func TestNextStatusComesWhenItWasPromised(t *testing.T) {
 	for name, change := range map[string]func(n int, hear func(ip IP, life Life, agents uint16)){
-		"nothing": func(int, func(IP, Life, uint16)) {},
-		"a balancer that has just started knows few agents": func(n int, hear func(IP, Life, uint16)) {
+		"no change": func(int, func(IP, Life, uint16)) {},
+		"a balancer restarts and knows few agents": func(n int, hear func(IP, Life, uint16)) {
 			if n%4 == 0 {
 				hear(105, Life(1000+n), 2)
 			}
@@ -71,13 +72,14 @@
 				}
 			}
 			if o.late > StatusEvery {
-				t.Errorf("a status came %v later than promised", o.late)
+				t.Errorf("a status was sent %v later than announced", o.late)
 			}
 		})
 	}
 }
 
-// promisingAgent is an agent whose statuses are kept, and what has it hear a balancer.
+// newRecordedAgent returns an agent, the recorder of its statuses, and a function that lets
+// it receive a status from a balancer.
 func promisingAgent(t *testing.T) (a *Agent, o *promises, hear func(ip IP, life Life, agents uint16)) {
 	o = &promises{keys: testKeys(t), last: map[IP]time.Duration{}, every: map[IP]time.Duration{}}
 	a = &Agent{Life: 60, Service: 7, Format: plain{}, Out: o, Keys: o.keys}
@@ -90,8 +92,8 @@
 	}
 }
 
-// Guards against agents that send their status often to the whole fleet, as a balancer
-// that has just started knows few agents.
+// Guards against agents that send their status often to the whole fleet, because a balancer
+// that has just started reports few agents.
 func TestBalancerThatKnowsFewAgentsMakesNoFleetSmall(t *testing.T) {
 	a, o, hear := promisingAgent(t)
 	for o.now < 5*time.Second {
@@ -108,24 +110,25 @@
 	for range 20 {
 		o.now += 50 * time.Millisecond
 		a.Tick(o.now)
-		if n := o.often(); n > want+1 { // the one that has started is greeted
-			t.Fatalf("%d balancers expect statuses often, before it was %d", n, want)
+		if n := o.often(); n > want+1 { // the balancer that has started is sent an initial status
+			t.Fatalf("%d balancers expect statuses often, %d before the restart", n, want)
 		}
 	}
 }
 
-// Guards against flows that are reset since another balancer said that their agent is
-// silent: an agent that answers lives, and one that was not asked may.
+// Guards against the reset of flows whose agent is alive but was reported silent by another
+// balancer. An agent that answers is alive, and one that has not been verified may be
+// alive.
 func TestSilentAgentIsAskedBeforeItIsHeldForGone(t *testing.T) {
 	for name, x := range map[string]struct {
 		harm    func(b *Balancer, now time.Duration)
 		answers bool
 		gone    bool
 	}{
-		"told silent, answers": {func(b *Balancer, now time.Duration) { tellSilent(b, 1, now) }, true, false},
-		"told silent, gone":    {func(b *Balancer, now time.Duration) { tellSilent(b, 1, now) }, false, true},
-		"silent, answers":      {func(*Balancer, time.Duration) {}, true, false},
-		"silent, gone":         {func(*Balancer, time.Duration) {}, false, true},
+		"reported silent, answers": {func(b *Balancer, now time.Duration) { tellSilent(b, 1, now) }, true, false},
+		"reported silent, gone":    {func(b *Balancer, now time.Duration) { tellSilent(b, 1, now) }, false, true},
+		"silent, answers":          {func(*Balancer, time.Duration) {}, true, false},
+		"silent, gone":             {func(*Balancer, time.Duration) {}, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := 10 * time.Second
@@ -147,18 +150,18 @@
 					b.agents.hear(1, status, now)
 				}
 				if x.answers && !a.mayHold(now) {
-					t.Fatalf("held for gone after %v, though it answers", now-10*time.Second)
+					t.Fatalf("agent is considered gone after %v although it answers", now-10*time.Second)
 				}
 			}
 			if a.mayHold(now) == x.gone {
-				t.Errorf("may hold flows: %t", !x.gone)
+				t.Errorf("agent may hold flows: want %t", !x.gone)
 			}
 		})
 	}
 }
 
-// Guards against a home that was cut off for a moment and takes its directory for whole, as
-// agents that speak seldom have said nothing yet of what they told meanwhile.
+// Guards against a home that was cut off for a moment and considers its directory complete,
+// although entries of agents that send statuses seldom may have been lost meanwhile.
 func TestHomeHearsAgentsAnewAfterACut(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 4, now)
@@ -175,9 +178,9 @@
 	speakAll()
 	speak(4, 3*time.Second)
 	if !b.coverage(now).ok {
-		t.Fatal("the directory is not whole before")
+		t.Fatal("the directory is incomplete before the interruption")
 	}
-	for range 10 { // all are lost
+	for range 10 { // all messages are lost
 		now += 100 * time.Millisecond
 		b.Tick(now)
 	}
@@ -186,17 +189,17 @@
 	now += StatusEvery
 	b.Tick(now)
 	if b.coverage(now).ok || !slices.Equal(s.verified, []IP{4}) {
-		t.Errorf("covered: %t, asked %v, want only the one that speaks seldom", b.coverage(now).ok, s.verified)
+		t.Errorf("directory complete: %t, want false; verified agents %v, want only 4, which sends seldom", b.coverage(now).ok, s.verified)
 	}
 	speak(4, 3*time.Second)
 	now += coverageFor
 	if !b.coverage(now).ok {
-		t.Error("the directory is not whole after all were heard")
+		t.Error("the directory is incomplete after all agents sent a status")
 	}
 }
 
-// Guards against living flows that are reset by a balancer that was cut off a moment ago,
-// by the word of homes that were cut off with it.
+// Guards against the reset of flows that are alive by a balancer that has just been cut
+// off, based on the answers of homes that were cut off with it.
 func TestBalancerThatHearsNoAgentResetsNothing(t *testing.T) {
 	for name, x := range map[string]struct {
 		answers bool
@@ -217,29 +220,29 @@
 				}
 			}
 			if s.caller != x.resets || len(s.asks()) == 0 {
-				t.Errorf("%d resets after asking %v", s.caller, s.asks())
+				t.Errorf("%d resets after asking agents %v", s.caller, s.asks())
 			}
 		})
 	}
 }
 
-// tellSilent has another balancer say that the agent is silent.
+// reportAgentSilent lets the balancer receive a report that the agent is silent.
 func tellSilent(b *Balancer, ip IP, now time.Duration) {
 	p := make([]byte, silentLen)
 	p[3], p[11] = byte(ip), byte(b.agents.byIP[ip].status.Life)
 	b.hearSilent(p, now)
 }
 
-// Guards against flows that an agent denies, as their upstream, which serves, has not
-// announced itself since the agent started.
+// Guards against an agent that denies flows of a running upstream that has not announced
+// itself since the agent started.
 func TestUpstreamThatListensMayHoldFlows(t *testing.T) {
 	for name, x := range map[string]struct {
 		probe Probe
 		want  bool
 	}{
-		"listens":         {ProbeAccepted, false},
-		"does not":        {ProbeRefused, true},
-		"does not answer": {ProbeUnanswered, true},
+		"connection accepted": {ProbeAccepted, false},
+		"connection refused":  {ProbeRefused, true},
+		"no answer":           {ProbeUnanswered, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := &Agent{Service: 7, Format: plain{}, Out: newSent(t), Keys: testKeys(t), Probe: func() {}}
@@ -249,20 +252,21 @@
 			a.Probed(x.probe, 2*time.Millisecond)
 			now := announcedWithin + time.Second
 			if a.knowsAll(now) != x.want {
-				t.Errorf("takes itself to know all flows: %t", !x.want)
+				t.Errorf("agent claims to know all flows: %t", !x.want)
 			}
 			var s AgentStatus
 			m := a.statusMessage(a.balancers[testSelf], now, StatusEvery, false)
 			var h Message
 			p, _ := h.Get(m, a.Keys)
 			if v := (agentView{heard: now}); !s.decode(p) || !v.hears(s, now) == !x.want {
-				t.Errorf("a balancer holds it for one without flows: %t", !x.want)
+				t.Errorf("balancer assumes that the agent holds no flows: %t", !x.want)
 			}
 		})
 	}
 }
 
-// hears takes in a status and reports whether the agent may hold flows by it.
+// mayHoldFlowsAfter stores the status and reports whether the agent may hold flows
+// according to it.
 func (a *agentView) hears(s AgentStatus, now time.Duration) bool {
 	a.status, a.heard = s, now
 	return a.mayHold(now)
--- a/datagram/status.go
+++ b/datagram/status.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Life names one run of a process; it is random.
+// Life identifies one run of a process. It is random.
 type Life uint64
 
-// UpstreamState is what an agent knows of its upstream.
+// UpstreamState is the state of an upstream as its agent knows it.
 type UpstreamState uint8
 
 // States of an upstream.
 const (
-	// UpstreamUnknown: it has not been heard of since the agent started.
+	// UpstreamUnknown: the upstream has not announced itself since the agent started.
 	UpstreamUnknown UpstreamState = iota
 	UpstreamReady
 	UpstreamDraining
 	UpstreamGone
-	// UpstreamSilent: it did not answer openings that it was given.
+	// UpstreamSilent: the upstream did not answer an opening that it was given.
 	UpstreamSilent
-	// UpstreamAbsent: nothing listens at its address.
+	// UpstreamAbsent: nothing listens at the upstream's address.
 	UpstreamAbsent
 	upstreamStateEnd
 )
@@ -29,7 +29,7 @@
 // Millis is a duration on the wire, in milliseconds.
 type Millis uint32
 
-// MillisOf returns d rounded up.
+// MillisOf converts d to milliseconds, rounded up.
 func MillisOf(d time.Duration) Millis {
 	return Millis(max(0, (d+time.Millisecond-1)/time.Millisecond))
 }
@@ -37,7 +37,8 @@
 // Duration returns m as a duration.
 func (m Millis) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// AgentStatus is what an agent says of itself and its upstream.
+// AgentStatus is an agent's periodic report on itself and its upstream. Its fields are sent
+// in this order.
 type AgentStatus struct {
 	Life     Life
 	Sequence uint32
@@ -48,16 +49,17 @@
 	// Leaving: the agent itself is about to stop.
 	Leaving bool
 	Slots   uint16
-	// Flows are open at the upstream, UnderWay of them with a request.
+	// Flows is the number of flows open at the upstream, UnderWay how many of them have a
+	// request in progress.
 	Flows    uint16
 	UnderWay uint16
 	Cold     Millis
-	// Every is how often the receiver is told.
+	// Interval is the time within which the receiver is sent the next status.
 	Every Millis
 	// Homes is the digest of the balancers among which the agent chooses homes.
 	Homes uint64
-	// Entries is how many the agent has told the receiver since Epoch began; 0 is before
-	// the agent has heard the receiver.
+	// Entries is the number of flows registered at the receiver since Epoch began; 0 if the
+	// agent has not received anything from the receiver.
 	Epoch, Entries uint32
 	// KnowsAll: the agent knows every flow of its upstream.
 	KnowsAll bool
@@ -78,7 +80,7 @@
 	return err == nil && s.State < upstreamStateEnd
 }
 
-// decodeWithHomes decodes a status and the balancers that may follow it.
+// decodeWithHomes decodes a status and the list of balancers that may follow it.
 func (s *AgentStatus) decodeWithHomes(b []byte) ([]IP, bool) {
 	n := min(len(b), agentStatusLen)
 	if !s.decode(b[:n]) {
@@ -91,8 +93,8 @@
 	return ips, ok && len(rest) == 0
 }
 
-// BalancerStatus is what a balancer tells agents and other balancers. Zones is
-// the view of evacuated availability zones as of a revision of the store.
+// BalancerStatus is a balancer's periodic report to agents and other balancers. Zones are
+// the evacuated availability zones as of Revision of the store.
 type BalancerStatus struct {
 	Life     Life
 	Version  Version
@@ -100,16 +102,17 @@
 	Leaving  bool
 	// Detached: the store does not answer the sender.
 	Detached bool
-	// Agents is how many agents the sender knows.
+	// Agents is the number of agents that the sender knows.
 	Agents uint16
 	// Homes is the digest of the balancers among which the sender chooses homes.
 	Homes uint64
 	Zones []ZoneKey
-	// Balancers are some that the sender knows, to a newcomer as many as fit.
+	// Balancers are some of those that the sender knows, or as many as fit if the receiver
+	// is new.
 	Balancers []IP
 }
 
-// Bounds of a BalancerStatus, so that it fits one datagram.
+// Limits of a BalancerStatus, so that it fits into one datagram.
 const (
 	zonesMost     = 32
 	balancersMost = 128
--- a/datagram/suspicion.go
+++ b/datagram/suspicion.go
@@ -5,56 +5,59 @@
 	"time"
 )
 
-// An agent that is not heard, or that another balancer calls silent, is suspected: it gets
-// openings after the others, and it is asked to tell everything again. One that answers is
-// no longer suspected, and what was lost meanwhile is known. One that left several
-// questions unanswered is held for gone with its flows. So neither lost statuses nor
-// another balancer's word end flows that live. Questions of a balancer that hears few
-// others count for nothing, as it is rather cut off itself.
+// Failure detection of agents. A balancer suspects an agent that has become silent, or that
+// another balancer reports as silent. A suspected agent receives openings after the others,
+// and it is asked to send its flow entries again. If it answers, the suspicion ends and any
+// entries that were lost are restored. If it leaves several of these verifications
+// unanswered, the agent and its flows are considered gone. Thus neither lost statuses nor
+// another balancer's report can end flows that are alive. Verifications by a balancer that
+// receives from few others do not count, because that balancer is probably cut off itself.
 
 const (
-	// askEvery spaces the questions to a suspected agent until it is held for gone, and
-	// farLeast after that.
+	// verifyInterval is the time between verifications of a suspected agent until it is
+	// considered gone. After that the interval is minFarInterval.
 	askEvery = StatusEvery
-	// asksUnanswered is how many an agent leaves unanswered before it is held for gone:
-	// over a time in which a killed process is started again.
+	// maxUnanswered is the number of verifications that an agent leaves unanswered before
+	// it is considered gone. Together they take longer than restarting a killed process.
 	asksUnanswered = 5
-	// asksEach bounds the agents that are asked in one turn, for the loss of an
-	// availability zone of a large fleet.
+	// maxVerifiesPerTick limits the agents that are verified at a time, for the loss of an
+	// availability zone in a large fleet.
 	asksEach = 256
-	// goneAfter is within what an agent that dies is held for gone by those near it.
+	// failureDetectionTime is the time within which near balancers consider an agent gone
+	// that has died.
 	goneAfter = silentStatuses*LargeEvery + silentDelay + (asksUnanswered+1)*askEvery
 )
 
-// suspicion is a balancer's suspicion that an agent has ended.
+// suspicion is a balancer's assumption that an agent may have failed.
 type suspicion struct {
-	since time.Duration // 0: none
-	asks  int           // questions since then that count
-	asked time.Duration // when the last was sent; 0: never
+	since time.Duration // when it began; 0: no suspicion
+	asks  int           // verifications since then that count
+	asked time.Duration // when the last one was sent; 0: never
 }
 
-// due reports whether it is time for another question, if that counts.
+// due reports whether the next verification is due. Counts tells whether it would count.
 func (s *suspicion) due(counts bool, now time.Duration) bool {
-	every := askEvery
+	interval := askEvery
 	if !counts || s.asks >= asksUnanswered {
-		every = farLeast
+		interval = farLeast
 	}
-	return s.asked == 0 || now-s.asked >= every
+	return s.asked == 0 || now-s.asked >= interval
 }
 
-// confirmed reports whether the agent has left enough questions unanswered.
+// confirmed reports whether the agent has left enough verifications unanswered to be
+// considered gone.
 func (s *suspicion) confirmed(now time.Duration) bool {
 	return s.asks > asksUnanswered || s.asks == asksUnanswered && now-s.asked >= askEvery
 }
 
-// suspect notes that an agent may have ended.
-func (b *Balancer) suspect(a *agentView, why string, now time.Duration) {
+// suspect marks the agent as possibly failed.
+func (b *Balancer) suspect(a *agentView, cause string, now time.Duration) {
 	a.suspicion = suspicion{since: now}
-	b.Log.agentChanged(a, why, now)
+	b.Log.agentChanged(a, cause, now)
 }
 
-// hearSilent takes in that a balancer near an agent does not hear it. One's own ears go
-// before another's.
+// handleSilent processes a report that an agent is silent, from a balancer near it. If this
+// balancer is near the agent too, its own observation takes precedence.
 func (b *Balancer) hearSilent(p []byte, now time.Duration) {
 	if len(p) != silentLen {
 		b.Count.BadMessages++
@@ -64,14 +67,14 @@
 	if a == nil || a.status.Life != Life(binary.BigEndian.Uint64(p[4:])) || a.near() || a.suspicion.since != 0 {
 		return
 	}
-	b.suspect(a, "told silent", now)
+	b.suspect(a, "reported silent", now)
 	b.verify(a, now)
 }
 
 const silentLen = 4 + 8
 
-// suspectSilent suspects the agents that are not heard any more, and tells the other
-// balancers of those near this one.
+// suspectSilent marks the agents that have become silent as suspected, and reports those
+// near this balancer to the other balancers.
 func (b *Balancer) suspectSilent(now time.Duration) {
 	for _, a := range b.agents.byIP {
 		if a.heard == 0 || a.suspicion.since != 0 || !a.silent(now) {
@@ -84,7 +87,7 @@
 	}
 }
 
-// sayIsSilent tells the other balancers that this one does not hear an agent.
+// reportSilent reports to the other balancers that the agent is silent.
 func (b *Balancer) sayIsSilent(a *agentView) {
 	m := b.scratch[:HeaderLen+silentLen]
 	binary.BigEndian.PutUint32(m[HeaderLen:], uint32(a.ip))
@@ -96,8 +99,9 @@
 	}
 }
 
-// verifySuspects asks the suspected agents whose time it is, and after a cut those that
-// were not heard since: what they told meanwhile is lost.
+// verifySuspects verifies the suspected agents that are due. After this balancer was
+// isolated, it also verifies the agents that have sent nothing since, because the entries
+// that they sent meanwhile are lost.
 func (b *Balancer) verifySuspects(now time.Duration) {
 	left, counts := asksEach, !b.apart(now)
 	if !counts {
@@ -117,12 +121,13 @@
 	}
 }
 
-// stale reports whether the agent was not heard since this balancer was cut off.
+// stale reports whether the agent has sent nothing since this balancer was isolated.
 func (b *Balancer) stale(a *agentView) bool { return a.heard != 0 && a.heard <= b.apartAt }
 
-// apart reports whether the statuses of more than half of the agents near this balancer
-// are overdue, or it hears fewer than half of the other balancers: it is rather cut off
-// than alone alive. Agents that are far speak too seldom to tell.
+// isolated reports whether this balancer is probably cut off: the statuses of more than
+// half of the agents near it are overdue, or it has lost more than half of the other
+// balancers. It is less likely that all of these have failed. Far agents are ignored
+// because their statuses are too rare.
 func (b *Balancer) apart(now time.Duration) bool {
 	near, onTime := 0, 0
 	for _, a := range b.agents.byIP {
@@ -136,14 +141,15 @@
 	return 2*onTime < near || b.lonely(now)
 }
 
-// verify has an agent say that it lives and tell its flows again.
+// verify asks an agent to send all its flow entries again, which also proves that it is
+// alive.
 func (b *Balancer) verify(a *agentView, now time.Duration) {
 	a.suspicion.asked = now
 	b.send(b.scratch[:HeaderLen], Message{Kind: KindResend}, a.ip)
 }
 
-// suspectAnew forgets what agents left unanswered while this process stood still, as it
-// read no answer.
+// restartSuspicions discards the unanswered verifications of the time in which this process
+// was paused, because it read no answers.
 func (b *Balancer) suspectAnew(now time.Duration) {
 	for _, a := range b.agents.byIP {
 		if a.suspicion.since != 0 {
