--- a/datagram/agent.go
+++ b/datagram/agent.go
@@ -48,7 +48,7 @@
 	upstream  upstream
 	balancers map[IP]*balancerView
 	homes     homeSet
-	homesDue  time.Duration // when homes is recomputed; 0: not scheduled
+	homesDue  time.Duration // when homes is updated; 0: not scheduled
 	homesTell time.Duration // when all balancers are sent the new set; 0: not scheduled
 	homesLast time.Duration // the time past which that is not postponed
 	former    []formerHomes
--- a/datagram/agentview.go
+++ b/datagram/agentview.go
@@ -17,8 +17,9 @@
 	// record. It is longer than a restart takes, and longer than flows can wait for the
 	// member.
 	forgottenAfter = 30 * time.Second
-	// maxMissedOpenings is the number of consecutive openings that an agent may leave
-	// unanswered before others are tried first. A single one may be due to a lost datagram.
+	// doubtThreshold is the number of consecutive openings that an agent must leave
+	// unanswered for others to be tried first. A lost datagram counts as an unanswered
+	// opening.
 	doubtAfter = 1
 )
 
