--- a/datagram/agent.go
+++ b/datagram/agent.go
@@ -111,10 +111,10 @@
 	evacuationUsual = 5 * time.Second
 	// cutStart and cutEnd delimit, as shares of the evacuation time, the period in which
 	// the flows of an availability zone that is out of service are cut, each at its own
-	// time. Openings are refused at once. Until its flow is cut, a caller can finish what it has
-	// begun. The remaining flows lose one request each, and spreading the cuts avoids
-	// losing all of these at the same moment. The rest of the evacuation time covers the
-	// delay until the agent learns of the evacuation.
+	// time. Openings are refused at once. Until its flow is cut, a caller can finish what
+	// it has begun. The remaining flows lose one request each, and spreading the cuts
+	// avoids losing all of these at the same moment. The rest of the evacuation time covers
+	// the delay until the agent learns of the evacuation.
 	cutFrom = 0.6
 	cutTill = 0.96
 )
@@ -226,7 +226,8 @@
 		if slices.Contains(a.homes.ips, from) {
 			a.greet(from, now)
 		} else if a.homesDue == 0 {
-			a.homesDue = now + homesGather // the update sends it the status, with a home set that contains it
+			// The update sends it the status, with a home set that contains it.
+			a.homesDue = now + homesGather
 		}
 	}
 	b.agents = int(s.Agents)
--- a/datagram/agents.go
+++ b/datagram/agents.go
@@ -29,9 +29,9 @@
 	return agents{byIP: map[IP]*agentView{}, byService: map[ServiceKey][]*agentView{}}
 }
 
-// applyStatus stores a status unless it is outdated. Restarted reports whether its life was
-// unknown, in which case the agent does not know this balancer yet; changed reports whether
-// its content differs from the previous status.
+// applyStatus stores a status unless it is outdated. restarted is true if its life was
+// unknown, in which case the agent does not know this balancer yet; changed is true if its
+// content differs from the previous status.
 func (x *agents) hear(ip IP, s AgentStatus, now time.Duration) (restarted, changed bool) {
 	a := x.byIP[ip]
 	if a != nil && !a.newer(&s, now) {
@@ -55,7 +55,7 @@
 	return restarted, changed
 }
 
-// suspects reports whether the agent is known and suspected.
+// isSuspected reports whether the agent is known and suspected.
 func (x *agents) suspects(ip IP) bool {
 	a := x.byIP[ip]
 	return a != nil && a.suspicion.since != 0
@@ -67,8 +67,8 @@
 	return a
 }
 
-// applyRecords stores the recorded members. For an agent that has sent a status, its status
-// takes precedence over its record.
+// applyRecords stores the recorded members. For an agent that has sent a status, the status
+// takes precedence.
 func (x *agents) record(ms []Member, now time.Duration) {
 	for _, a := range x.byIP {
 		a.recorded = false
--- a/datagram/agentview.go
+++ b/datagram/agentview.go
@@ -39,7 +39,8 @@
 	homes      homeSet // the balancers among which it chooses homes, valid if the status has this digest
 	work       int     // flows and requests at its upstream, as last reported
 	asked      int     // openings sent to it and not answered yet
-	// declinedAt is when it last declined an opening as busy, by the opening's priority.
+	// declinedAt is when the agent last refused an opening as busy, by the opening's
+	// priority.
 	declined [priorityEnd]time.Duration
 	former   [4]Life
 }
@@ -107,8 +108,8 @@
 	return a.declined[p] != 0 && (since < busyFor || since < carefulFor && a.asked > 0)
 }
 
-// noteDecline records that the agent declined an opening of the priority while its upstream
-// had the given number of requests. It would also decline openings of every other priority
+// noteDecline records that the agent refused an opening of the priority while its upstream
+// had the given number of requests. It would also refuse openings of every other priority
 // whose limit that number reaches.
 func (a *agentView) decline(p Priority, requests int, now time.Duration) {
 	for q := range priorityEnd {
@@ -118,7 +119,7 @@
 	}
 }
 
-// isNewer reports whether the status is newer than the stored one.
+// isNewer reports whether the status supersedes the stored one.
 //
 // A delayed datagram from before a restart would reset the agent to an outdated state, for
 // example to ready although it now drains. Such a datagram has a life that another one has
--- a/datagram/balancer.go
+++ b/datagram/balancer.go
@@ -143,10 +143,10 @@
 	return true
 }
 
-// SetMembers applies the recorded members. Settled is true if they were read since this
+// SetMembers applies the recorded members. membersRead is true if they were read since this
 // process started, rather than up to some seconds before.
-func (b *Balancer) SetMembers(ms []Member, settled bool, now time.Duration) {
-	b.settled = b.settled || settled
+func (b *Balancer) SetMembers(ms []Member, membersRead bool, now time.Duration) {
+	b.settled = b.settled || membersRead
 	b.agents.record(ms, now)
 	for _, m := range ms {
 		if !m.Agent {
--- a/datagram/log.go
+++ b/datagram/log.go
@@ -34,7 +34,7 @@
 	Left uint64
 }
 
-// decide logs a decision unless the limit for this second is reached.
+// logDecision logs a decision unless the limit for this second is reached.
 func (l *Log) decide(d decision, now time.Duration) {
 	if l == nil || l.Log == nil {
 		return
--- a/datagram/peers.go
+++ b/datagram/peers.go
@@ -128,16 +128,18 @@
 type difference struct{ since, told time.Duration }
 
 // mismatchDelay gives processes that start together the time to learn of each other on
-// their own. mismatchIntervalPerAgent limits the statuses sent because of differing home
-// sets in a large fleet.
+// their own. Statuses that are sent because of a mismatch are at least mismatchInterval
+// apart, and mismatchIntervalPerAgent more for each agent, which limits them in a large
+// fleet.
 const (
 	introduceAfter = time.Second
 	introduceEvery = 250 * time.Millisecond
 	introduceEach  = time.Millisecond
 )
 
-// resolveMismatch sends a process the known balancers if it has used another home set than
-// this balancer for long, because an earlier status to it was probably lost.
+// resolveMismatch sends a process the known balancers if its home set has differed from
+// this balancer's for longer than mismatchDelay, because an earlier status to it was
+// probably lost.
 func (b *Balancer) introduce(to IP, homes uint64, d *difference, now time.Duration) {
 	if homes == b.homes.digest {
 		*d = difference{}
@@ -153,7 +155,7 @@
 	}
 }
 
-// addPeer adds a balancer and reports whether it was unknown.
+// discoverPeer adds a balancer and reports whether it was unknown.
 func (b *Balancer) meet(ip IP, now time.Duration) bool {
 	if _, known := b.peers[ip]; known || ip == b.Self || ip == 0 {
 		return false
@@ -221,8 +223,8 @@
 // sendStatusToNew sends the status to every process that has not been sent one, and again
 // to those that have sent none themselves, because they may have started since.
 func (b *Balancer) tellNew(now time.Duration) {
-	due := func(heard, noted, told time.Duration) bool {
-		return told == 0 || heard == 0 && now-noted < unheardTold && now-told >= StatusEvery
+	due := func(lastSeen, discovered, lastSent time.Duration) bool {
+		return lastSent == 0 || lastSeen == 0 && now-discovered < unheardTold && now-lastSent >= StatusEvery
 	}
 	for ip, a := range b.agents.byIP {
 		if due(a.heard, a.noted, a.toldStatus) {
@@ -236,8 +238,8 @@
 	}
 }
 
-// newMemberPeriod is how long such a process is sent the status repeatedly. It is longer
-// than VMs take to return one after another.
+// newMemberPeriod is how long sendStatusToNew keeps sending to a process that has sent no
+// status. It is longer than VMs take to return one after another.
 const unheardTold = 3 * time.Second
 
 // broadcastStatus sends the balancer's status to all known processes after a change.
--- a/datagram/placement.go
+++ b/datagram/placement.go
@@ -29,7 +29,7 @@
 // zone.
 //
 // Agents in tried, and agents that would decline an opening of the priority, are left out.
-// Busy reports whether there is an agent of the latter kind.
+// busy is true if there is an agent of the latter kind.
 func (x *agents) choose(hash uint64, s ServiceKey, tried []IP, p Priority, now time.Duration) (_ *agentView, _ class, busy bool) {
 	var all, near pair
 	best := classNever
--- a/datagram/registrar.go
+++ b/datagram/registrar.go
@@ -37,19 +37,19 @@
 	formerMost = int(formerFor / homesGather)
 )
 
-// previousHomes is a home set that was in use until recently.
+// previousHomeSet is a home set that was in use until recently.
 type formerHomes struct {
 	homeSet
 	till time.Duration
 }
 
-// needsRegistration reports whether the flow belongs into the directories of its homes.
+// needsRegistration reports whether the flow must be in the directories of its homes.
 func (a *Agent) held(f *flowState) bool {
 	return f.phase >= flowAccepted && !f.finished && a.isPresent(f.born)
 }
 
-// isCurrentLife reports whether a flow that was opened in the given life of the upstream, 0
-// if unknown, may belong to the current life.
+// isCurrentLife reports whether a flow that was opened in the given life of the upstream
+// (0: unknown) may belong to the current life.
 func (a *Agent) isPresent(born int64) bool { return born == 0 || born == a.upstream.born }
 
 // register registers the flow at its homes.
--- a/datagram/silence_test.go
+++ b/datagram/silence_test.go
@@ -31,7 +31,7 @@
 	o.last[to], o.every[to] = o.now, s.Every.Duration()
 }
 
-// countNear returns the number of balancers that expect the agent's status often.
+// countNear returns the number of balancers that expect short status intervals.
 func (o *promises) often() (n int) {
 	for _, e := range o.every {
 		if e <= LargeEvery {
--- a/datagram/suspicion.go
+++ b/datagram/suspicion.go
@@ -35,7 +35,8 @@
 	asked time.Duration // when the last one was sent; 0: never
 }
 
-// due reports whether the next verification is due. Counts tells whether it would count.
+// due reports whether the next verification is due. counts is true if it would count
+// towards maxUnanswered.
 func (s *suspicion) due(counts bool, now time.Duration) bool {
 	interval := askEvery
 	if !counts || s.asks >= asksUnanswered {
