--- a/datagram/cutoff.go
+++ b/datagram/cutoff.go
@@ -12,7 +12,7 @@
 // distinguish the two cases and stays ready.
 
 // minPause is twice the longest time between two ticks. A process that was paused for
-// longer has received nothing only because it did not read.
+// longer has received nothing merely because it did not read.
 const pauseLeast = 2 * StatusEvery
 
 // detectPause records when this process resumed after a pause.
@@ -100,8 +100,8 @@
 	return b.peerSilentAfter()
 }
 
-// peerTimeout is how long another balancer may be silent before it is considered gone. As
-// for agents, it depends on the status interval between balancers.
+// peerTimeout is how long another balancer may be silent before it is considered gone. It
+// is computed as for agents, from the status interval between balancers.
 func (b *Balancer) peerSilentAfter() time.Duration {
 	interval := nearEvery(len(b.agents.byIP), len(b.peers)+1)
 	if nearPeerCount(len(b.peers)) < len(b.peers) {
--- a/datagram/registrar.go
+++ b/datagram/registrar.go
@@ -19,9 +19,10 @@
 	// set.
 	homesGather = 20 * time.Millisecond
 	// homesSendDelay, plus homesSendDelayPerAgent for each agent, combines several changes
-	// of the home set before the last one is sent to all balancers; maxPostponements limits
-	// how far the sending is put off. Added balancers are sent the set at once. All are
-	// sent it homesSendCount times, because datagrams can be lost.
+	// of the home set before the last one is sent to all balancers. Each change restarts
+	// the delay, but the sending is put off for at most maxPostponements delays in total.
+	// Added balancers are sent the set at once. All are sent it homesSendCount times,
+	// because datagrams can be lost.
 	homesDelay     = 500 * time.Millisecond
 	homesDelayEach = 200 * time.Microsecond
 	homesDelays    = 2
