--- a/datagram/directory.go
+++ b/datagram/directory.go
@@ -6,44 +6,48 @@
 	"time"
 )
 
-// The directory of a home balancer says which agents hold the flows that it is home of.
-// Each agent numbers what it tells a home, and its statuses say how much that is, so
-// the home notices what was lost and asks for all of it again. A home that lacks
-// nothing of any agent can also tell that a flow is gone.
+// The directory of a home records which agents hold the flows that it is a home of. Each
+// agent numbers the entries that it sends to a home, and its statuses carry their count, so
+// the home detects lost entries and requests all of them again. A home that has every entry
+// of every agent can also tell that a flow is gone.
 
 const (
-	// directoryTurn is over the time in which agents repeat their entries.
+	// directoryInterval is longer than the interval at which agents repeat their entries.
 	directoryTurn = refreshEvery + time.Minute
-	// directoryMost bounds the memory of a directory.
+	// maxDirectoryFlows bounds the memory of a directory.
 	directoryMost = 400_000
-	// resendEvery spaces the requests to one agent to tell all again.
+	// resendInterval is the minimum interval between requests to one agent to resend its
+	// entries.
 	resendEvery = 300 * time.Millisecond
-	// coverageFor spaces the looks at all agents.
+	// coverageInterval is the minimum interval between computations of the coverage, each
+	// of which visits all agents.
 	coverageFor = 10 * time.Millisecond
-	// unsureMost bounds the agents that a lookup has to ask itself.
+	// maxUncovered bounds the agents that a lookup has to ask itself.
 	unsureMost = 16
 )
 
-// directory is what a home knows of flows.
+// directory is what a home knows about the locations of flows.
 type directory struct {
 	flows table[holders]
 	logs  map[IP]*entryLog
-	// dropped is when entries were dropped for want of room; 0: never.
+	// droppedAt is when entries were last dropped because the table was full. 0 means never.
 	dropped  time.Duration
 	coverage coverage
 }
 
-// coverage is of which flows a directory knows all that there is to know.
+// coverage describes the flows for which a directory knows every agent that holds them.
 type coverage struct {
-	at time.Duration // when it was worked out
+	at time.Duration // when it was computed
 	ok bool
-	// unsure are agents that were started after their upstreams and have to be asked
-	// themselves, sets those among which the others choose homes.
+	// uncovered are the agents that do not know all flows of their upstreams, as they
+	// started after them, and have to be asked directly. homeSets are the sets from which
+	// the other agents choose homes.
 	unsure []IP
 	sets   []homeSet
 }
 
-// of reports whether the home knows of the flow if any agent, but the unsure, holds it.
+// covers reports whether the home would know the flow if any agent held it, other than the
+// uncovered ones.
 func (c *coverage) of(f Flow, home IP) bool {
 	for i := range c.sets {
 		if !c.sets[i].of(f).has(home) {
@@ -57,7 +61,7 @@
 	return directory{flows: newTable[holders](directoryTurn, directoryMost), logs: map[IP]*entryLog{}}
 }
 
-// tick forgets entries that were not repeated.
+// expire drops entries that agents did not repeat.
 func (d *directory) tick(now time.Duration) {
 	early := now-d.flows.turned < directoryTurn
 	if len(d.flows.tick(now)) > 0 && early {
@@ -65,17 +69,17 @@
 	}
 }
 
-// entryLog is how much of what an agent told this home has arrived.
+// entryTracker tracks which entries of an agent this home has received.
 type entryLog struct {
 	life  Life
 	epoch uint32
-	next  uint32 // all before have arrived
-	ahead uint64 // which of the 64 from next on have arrived
+	next  uint32 // the number below which all entries have arrived
+	ahead uint64 // bit mask of the 64 entries from next on that have arrived
 	asked time.Duration
-	late  bool // the status before said that something is missing
+	late  bool // entries were already missing at the previous status
 }
 
-// arrived notes an entry, in whatever order entries arrive.
+// markReceived records the arrival of an entry. Entries may arrive in any order.
 func (l *entryLog) arrived(n uint32) {
 	if at := n - l.next; at < 64 {
 		l.ahead |= 1 << at
@@ -86,7 +90,8 @@
 	}
 }
 
-// complete reports whether all has arrived that the agent had told when it sent the status.
+// isComplete reports whether all entries have arrived that the agent had sent before it sent
+// the status.
 func (l *entryLog) complete(s *AgentStatus) bool {
 	switch {
 	case l == nil, l.life != s.Life:
@@ -97,7 +102,7 @@
 	return int32(l.next-s.Entries) >= 0
 }
 
-// entriesHead begins a message with entries.
+// entriesHeader is the header of a message with entries.
 type entriesHead struct {
 	Life  Life
 	Epoch uint32
@@ -106,11 +111,11 @@
 
 const (
 	entriesHeadLen = 8 + 4 + 4
-	// entriesMost fit one datagram.
+	// maxEntries is how many entries fit into one datagram.
 	entriesMost = 100
 )
 
-// hearEntries takes in flows that an agent holds.
+// handleEntries adds flows that an agent reports to hold.
 func (b *Balancer) hearEntries(from IP, p []byte) {
 	var h entriesHead
 	if _, err := binary.Decode(p, binary.BigEndian, &h); err != nil || (len(p)-entriesHeadLen)%flowLen != 0 {
@@ -136,8 +141,8 @@
 	}
 }
 
-// log returns the agent's log, a new one if the agent began anew, or nil if the entries
-// are of an earlier one.
+// trackerFor returns the agent's tracker, reset if the agent has started a new epoch or was
+// restarted. It returns nil if the entries are of an earlier epoch.
 func (d *directory) log(from IP, h *entriesHead) *entryLog {
 	l := d.logs[from]
 	switch {
@@ -152,8 +157,8 @@
 	return l
 }
 
-// checkEntries asks the agent to tell all again if two statuses in turn say that
-// something is missing; one may have overtaken an entry.
+// checkEntries requests all entries of the agent again if entries were missing at two
+// consecutive statuses. At one status an entry may just be late.
 func (b *Balancer) checkEntries(from IP, s *AgentStatus, now time.Duration) {
 	l := b.directory.logs[from]
 	if l.complete(s) {
@@ -179,7 +184,7 @@
 	b.send(b.scratch[:HeaderLen], Message{Kind: KindResend}, from)
 }
 
-// coverage returns what the directory covers.
+// coverage returns the coverage of the directory, which is recomputed if it is too old.
 func (b *Balancer) coverage(now time.Duration) *coverage {
 	d := &b.directory
 	c := &d.coverage
@@ -187,14 +192,15 @@
 		*c = coverage{at: now, unsure: c.unsure[:0], sets: c.sets[:0]}
 		c.ok = b.settled && !b.lonely(now) && (d.dropped == 0 || now-d.dropped > 2*directoryTurn) && b.cover(c, now)
 		if !c.ok {
-			c.unsure = c.unsure[:0] // of some agents only, which helps nobody
+			c.unsure = c.unsure[:0] // incomplete, and so of no use to a lookup
 		}
 	}
 	return c
 }
 
-// cover works out coverage. A balancer that hears less than half of the agents is
-// rather cut off than alone alive.
+// computeCoverage computes the coverage and reports whether the directory is complete. It is
+// not if this balancer reaches less than half of the agents: then it is more likely cut off
+// than all of them dead.
 func (b *Balancer) cover(c *coverage, now time.Duration) bool {
 	d := &b.directory
 	unheard := 0
@@ -218,11 +224,11 @@
 	return 2*unheard <= len(b.agents.byIP)
 }
 
-// setsMost bounds the sets that are looked at for each flow: agents hear of balancers
-// that start together in other orders.
+// maxHomeSets bounds the sets that are checked for each flow. There may be several, as
+// agents learn of balancers that start together in different orders.
 const setsMost = 64
 
-// add notes a set among which an agent chooses homes; false if there are too many.
+// add adds a set from which an agent chooses homes, and returns false if there are too many.
 func (c *coverage) add(s homeSet) bool {
 	if slices.ContainsFunc(c.sets, func(o homeSet) bool { return o.digest == s.digest }) {
 		return true
@@ -231,7 +237,7 @@
 	return len(c.sets) <= setsMost
 }
 
-// forgetLogs drops what is known of agents that are forgotten.
+// forgetTrackers drops the trackers of agents that were forgotten.
 func (b *Balancer) forgetLogs() {
 	for ip := range b.directory.logs {
 		if b.agents.byIP[ip] == nil {
@@ -240,21 +246,21 @@
 	}
 }
 
-// located is a home's answer about one flow.
+// flowLocation is a home's answer about one flow.
 type located struct {
 	flow    Flow
-	sure    bool // the home knows all holders
+	sure    bool // the home knows every agent that may hold the flow
 	holders []IP
 }
 
 const (
-	// locateMost is how many flows one message asks for, so that the answer fits one.
+	// maxLocateFlows bounds the flows in one request, so that the answer fits one message.
 	locateMost = 40
-	// unsureBit stands beside the number of holders.
+	// notAuthoritativeBit is set in the number of holders if the home may lack some.
 	unsureBit = 0x80
 )
 
-// locate answers another balancer that asks where flows are.
+// handleLocate answers a balancer that asks which agents hold flows.
 func (b *Balancer) locate(from IP, p []byte, now time.Duration) {
 	if len(p) == 0 || len(p)%flowLen != 0 || len(p) > locateMost*flowLen {
 		b.Count.BadMessages++
@@ -291,7 +297,7 @@
 	return b
 }
 
-// cutIPs reads a count, without its highest bit, and so many addresses.
+// decodeIPs decodes a count, whose highest bit is ignored, and that many addresses.
 func cutIPs(b []byte) (ips []IP, rest []byte, ok bool) {
 	if len(b) == 0 || len(b) < 1+4*int(b[0]&^unsureBit) {
 		return nil, nil, false
@@ -304,7 +310,7 @@
 	return ips, b, true
 }
 
-// decodeLocated reads a home's answer.
+// decodeLocated decodes a home's answer.
 func decodeLocated(b []byte) (unsure []IP, ls []located, ok bool) {
 	if unsure, b, ok = cutIPs(b); !ok {
 		return nil, nil, false
--- a/datagram/directory_test.go
+++ b/datagram/directory_test.go
@@ -9,7 +9,8 @@
 	"pomeloway.example/pomeloway/link"
 )
 
-// Guards against homes that differ between processes, and move more than they must.
+// Guards against processes that compute different homes for a flow, and against flows that
+// change homes without need when a balancer is removed.
 func TestHomesAreSharedAndStay(t *testing.T) {
 	ips := make([]IP, 23)
 	for i := range ips {
@@ -20,17 +21,17 @@
 	o := newHomeSet(ips)
 	fewer := newHomeSet(slices.DeleteFunc(slices.Clone(ips), func(ip IP) bool { return ip == 7 }))
 	if s.digest != o.digest || s.digest == fewer.digest {
-		t.Error("digests do not tell sets apart")
+		t.Error("equal sets must have equal digests, different sets different ones")
 	}
 	load := map[IP]int{}
 	for port := range uint16(5000) {
 		f := testFlow(port)
 		h := s.of(f)
 		if h != o.of(f) || h[0] == 0 || h[0] == h[1] || h[1] == 0 {
-			t.Fatalf("homes %v and %v", h, o.of(f))
+			t.Fatalf("homes %v, and %v from the same set in another order", h, o.of(f))
 		}
 		if !h.has(7) && h != fewer.of(f) {
-			t.Fatalf("homes %v became %v", h, fewer.of(f))
+			t.Fatalf("homes %v became %v after an unrelated balancer was removed", h, fewer.of(f))
 		}
 		load[h[0]]++
 		load[h[1]]++
@@ -41,29 +42,29 @@
 		}
 	}
 	if h := (&homeSet{}).of(testFlow(1)); h != (homes{}) {
-		t.Errorf("homes %v among nobody", h)
+		t.Errorf("homes %v in an empty set", h)
 	}
 }
 
-// Guards against a home that takes its directory for whole while entries are missing.
+// Guards against a home that considers its directory complete while entries are missing.
 func TestLogNoticesWhatIsMissing(t *testing.T) {
 	for name, x := range map[string]struct {
 		arrive []uint32
 		status AgentStatus
 		want   bool
 	}{
-		"all":                            {[]uint32{0, 1, 2}, AgentStatus{Life: 1, Epoch: 4, Entries: 3}, true},
-		"in another order":               {[]uint32{2, 0, 1}, AgentStatus{Life: 1, Epoch: 4, Entries: 3}, true},
-		"more than the status":           {[]uint32{0, 1, 2}, AgentStatus{Life: 1, Epoch: 4, Entries: 2}, true},
-		"one is missing":                 {[]uint32{0, 2}, AgentStatus{Life: 1, Epoch: 4, Entries: 3}, false},
-		"the last is missing":            {[]uint32{0, 1}, AgentStatus{Life: 1, Epoch: 4, Entries: 3}, false},
-		"one is repeated":                {[]uint32{0, 1, 1}, AgentStatus{Life: 1, Epoch: 4, Entries: 3}, false},
-		"another life":                   {[]uint32{0, 1, 2}, AgentStatus{Life: 2, Epoch: 4, Entries: 3}, false},
-		"another epoch":                  {[]uint32{0, 1, 2}, AgentStatus{Life: 1, Epoch: 5, Entries: 3}, false},
-		"an epoch before":                {[]uint32{0}, AgentStatus{Life: 1, Epoch: 3, Entries: 0}, false},
-		"another life that told nothing": {[]uint32{0, 1}, AgentStatus{Life: 2, Epoch: 1}, true},
-		"nothing was told":               {nil, AgentStatus{Life: 1, Epoch: 4}, true},
-		"far ahead":                      {[]uint32{0, 900}, AgentStatus{Life: 1, Epoch: 4, Entries: 2}, false},
+		"all received":                      {[]uint32{0, 1, 2}, AgentStatus{Life: 1, Epoch: 4, Entries: 3}, true},
+		"out of order":                      {[]uint32{2, 0, 1}, AgentStatus{Life: 1, Epoch: 4, Entries: 3}, true},
+		"more than in the status":           {[]uint32{0, 1, 2}, AgentStatus{Life: 1, Epoch: 4, Entries: 2}, true},
+		"one is missing":                    {[]uint32{0, 2}, AgentStatus{Life: 1, Epoch: 4, Entries: 3}, false},
+		"the last is missing":               {[]uint32{0, 1}, AgentStatus{Life: 1, Epoch: 4, Entries: 3}, false},
+		"duplicate":                         {[]uint32{0, 1, 1}, AgentStatus{Life: 1, Epoch: 4, Entries: 3}, false},
+		"another life":                      {[]uint32{0, 1, 2}, AgentStatus{Life: 2, Epoch: 4, Entries: 3}, false},
+		"later epoch":                       {[]uint32{0, 1, 2}, AgentStatus{Life: 1, Epoch: 5, Entries: 3}, false},
+		"earlier epoch":                     {[]uint32{0}, AgentStatus{Life: 1, Epoch: 3, Entries: 0}, false},
+		"another life that sent no entries": {[]uint32{0, 1}, AgentStatus{Life: 2, Epoch: 1}, true},
+		"no entries sent":                   {nil, AgentStatus{Life: 1, Epoch: 4}, true},
+		"entry far ahead":                   {[]uint32{0, 900}, AgentStatus{Life: 1, Epoch: 4, Entries: 2}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := &entryLog{life: 1, epoch: 4}
@@ -71,19 +72,19 @@
 				l.arrived(n)
 			}
 			if l.complete(&x.status) != x.want {
-				t.Errorf("complete: %t, log %+v", !x.want, l)
+				t.Errorf("complete: %t, tracker %+v", !x.want, l)
 			}
 		})
 	}
 }
 
-// pair is an agent and its home, which lose what drop says.
+// testPair is an agent and its home. Messages between them are lost if drop returns true.
 type testPair struct {
 	a    *Agent
 	b    *Balancer
 	drop func(Kind) bool
 	now  time.Duration
-	born time.Duration // of the agent
+	born time.Duration // when the agent started
 }
 
 const testAgent IP = 1
@@ -115,7 +116,7 @@
 	return p
 }
 
-// startAgent starts the agent beside an upstream that it knows from its start.
+// startAgent starts the agent, and with it an upstream whose flows it all knows.
 func (p *testPair) startAgent() {
 	p.born = p.now
 	p.a.Start()
@@ -123,7 +124,7 @@
 	p.a.Meet(testSelf, 0)
 }
 
-// pass lets time go by.
+// advanceTime moves the clock forward and runs the ticks.
 func (p *testPair) pass(d time.Duration) {
 	for end := p.now + d; p.now < end; p.now += 10 * time.Millisecond {
 		p.a.Tick(p.now - p.born)
@@ -131,7 +132,7 @@
 	}
 }
 
-// hold has the agent's upstream accept a flow.
+// openFlow has the agent's upstream accept a flow.
 func (p *testPair) hold(port uint16) {
 	f := &flowState{phase: flowAccepted, born: 5}
 	p.a.flows.set(testFlow(port), f)
@@ -143,8 +144,8 @@
 	return slices.Contains(x.list(), testAgent)
 }
 
-// Guards against a home that denies a flow since a datagram was lost or it was started
-// anew: it is unsure until it has been told everything again.
+// Guards against a home that denies a flow whose entry was lost, or that it forgot in a
+// restart. The home must not be authoritative until it has received all entries again.
 func TestDirectoryBecomesWholeAgain(t *testing.T) {
 	for name, harm := range map[string]func(t *testing.T, p *testPair){
 		"nothing lost": func(*testing.T, *testPair) {},
@@ -153,21 +154,21 @@
 			p.hold(2)
 			p.pass(2 * StatusEvery)
 			if p.b.coverage(p.now).ok {
-				t.Error("an entry is missing, and the directory takes itself for whole")
+				t.Error("the directory is considered complete although an entry is missing")
 			}
 			p.drop = nil
 		},
-		"the home is started anew": func(t *testing.T, p *testPair) {
+		"the home restarts": func(t *testing.T, p *testPair) {
 			old := p.b
 			p.b = &Balancer{Self: testSelf, Life: 51, Format: plain{}, Out: p, Keys: old.Keys}
 			p.b.Start()
 			p.b.settled = true
 			p.b.agents.record([]Member{{IP: testAgent, Agent: true, Service: 7}}, p.now)
 			if p.b.coverage(p.now).ok {
-				t.Error("an empty directory takes itself for whole")
+				t.Error("an empty directory is considered complete")
 			}
 		},
-		"the agent is started anew": func(_ *testing.T, p *testPair) {
+		"the agent restarts": func(_ *testing.T, p *testPair) {
 			p.a = &Agent{Life: 61, Service: 7, Format: plain{}, Out: p, Keys: p.a.Keys}
 			p.startAgent()
 		},
@@ -180,18 +181,18 @@
 			p.hold(3)
 			p.pass(2 * time.Second)
 			if c := p.b.coverage(p.now); !c.ok || len(c.unsure) > 0 {
-				t.Errorf("covered %t, unsure of %v", c.ok, c.unsure)
+				t.Errorf("complete: %t, uncovered agents %v", c.ok, c.unsure)
 			}
 			for port, f := range map[uint16]bool{1: true, 2: name == "an entry is lost", 3: true, 4: false} {
 				if p.knows(port) != f {
-					t.Errorf("knows flow %d: %t", port, !f)
+					t.Errorf("home knows flow %d: %t", port, !f)
 				}
 			}
 		})
 	}
 }
 
-// Guards against entries of a former life of an agent that arrive late.
+// Guards against late entries from an earlier run of an agent.
 func TestEntriesOfAFormerLifeChangeNothing(t *testing.T) {
 	now := 10 * time.Second
 	b, _ := testBalancer(t, 1, now)
@@ -205,12 +206,12 @@
 	_, ok := b.directory.flows.get(testFlow(9))
 	_, late := b.directory.flows.get(testFlow(1))
 	if !ok || late || b.directory.logs[1].life != 9 {
-		t.Errorf("log %+v", b.directory.logs[1])
+		t.Errorf("entries of the current run lost or of the earlier run accepted, tracker %+v", b.directory.logs[1])
 	}
 }
 
-// Guards against flows that are in no home's directory after a balancer was added or
-// taken away.
+// Guards against flows that are missing in the directories of their new homes after a
+// balancer was added or removed.
 func TestFlowsFollowTheirHomes(t *testing.T) {
 	s := newSent(t)
 	a := &Agent{Service: 7, Format: plain{}, Out: s, Keys: testKeys(t)}
@@ -235,14 +236,14 @@
 	told := func(want homeSet) {
 		t.Helper()
 		if !a.homes.equal(&want) {
-			t.Fatalf("homes are chosen among %v", a.homes.ips)
+			t.Fatalf("homes are chosen from %v", a.homes.ips)
 		}
 		n := 0
 		for _, v := range a.balancers {
 			n += int(v.entries)
 		}
 		if n < 2*100 {
-			t.Errorf("%d entries told", n)
+			t.Errorf("%d entries sent for 100 flows with two homes each", n)
 		}
 	}
 	told(newHomeSet([]IP{101, 102, 103, 104}))
@@ -251,7 +252,7 @@
 	a.Tick(now)
 	told(newHomeSet([]IP{101, 102, 103, 104, 105}))
 	if n := a.balancers[105].entries; n < 20 || n > 60 {
-		t.Errorf("a fifth balancer was told of %d of 100 flows, want about 40", n)
+		t.Errorf("the fifth balancer got entries of %d of 100 flows, want about 40", n)
 	}
 	before := a.balancers[101].entries
 	now += homeSilentLeast + time.Second
@@ -262,7 +263,7 @@
 	a.Tick(now + StatusEvery)
 	told(newHomeSet([]IP{101, 102, 103, 104}))
 	if a.balancers[101].entries == before {
-		t.Error("nobody was told of the flows of a balancer that is gone")
+		t.Error("a remaining balancer got no entries for the flows of a removed one")
 	}
 }
 
@@ -277,8 +278,8 @@
 	})
 }
 
-// believers keeps what each balancer was told: among which balancers the agent chooses
-// homes, and which flows it holds.
+// homeViews records what each balancer received: the set from which the agent chooses homes,
+// and the flows that the agent holds.
 type believers struct {
 	keys  link.Keys
 	sets  map[IP]homeSet
@@ -309,9 +310,9 @@
 
 func (o *believers) ToUpstream([]byte) {}
 
-// Guards against the reset of a flow that lives: while balancers start one after another,
-// one of them believes that the agent chooses homes among the few that it knew first, and
-// so that it would have been told of every flow that it is home of by that.
+// Guards against resetting a live flow. While balancers start one after another, one of them
+// may still have an earlier set from which the agent chose homes. By that set it is a home of
+// flows, and without an entry it would deny them.
 func TestFlowsAreToldToWhoeverBelievesToBeTheirHome(t *testing.T) {
 	keys := testKeys(t)
 	o := &believers{keys: keys, sets: map[IP]homeSet{}, flows: map[IP]map[Flow]bool{}}
@@ -343,12 +344,12 @@
 		for b, s := range o.sets {
 			for p := uint16(1); p <= port; p++ {
 				if s.of(testFlow(p)).has(b) && !o.flows[b][testFlow(p)] {
-					t.Fatalf("after %d balancers, %v is a home of flow %d among %d and was not told", ip-100, b, p, len(s.ips))
+					t.Fatalf("after %d balancers, %v is a home of flow %d in its set of %d balancers, but got no entry", ip-100, b, p, len(s.ips))
 				}
 			}
 		}
 	}
 	if len(o.sets) < 39 {
-		t.Errorf("only %d balancers were told a set", len(o.sets))
+		t.Errorf("only %d balancers received a set", len(o.sets))
 	}
 }
--- a/datagram/flows.go
+++ b/datagram/flows.go
@@ -6,44 +6,45 @@
 	"pomeloway.example/pomeloway/events"
 )
 
-// What an agent knows of flows it learns from packets that pass. It is told by its
-// upstream of all that it does not know: a packet of an unknown flow is given to the
-// upstream, and comes back bounced if the flow is not there.
+// An agent learns about flows from the packets that pass through it. It forwards a packet
+// of an unknown flow to its upstream, which bounces it if it does not hold the flow.
 
-// flowState is what the agent knows of a flow at its upstream.
+// flowState is what the agent knows about a flow at its upstream.
 type flowState struct {
 	phase    flowPhase
 	underWay bool
 	finished bool
 	born     int64
-	accepted uint32 // the upstream's first number
+	accepted uint32 // sequence number of the upstream's acceptance
 	balancer IP
 	opening  uint32
-	// wanted: the flow was looked for, and the balancer is to be told if it is here.
+	// lookupPending is set while a balancer waits for a report that the flow is here.
 	wanted bool
-	// registered is when its homes were told of it; 0: never.
+	// registered is when the flow was last reported to its homes. 0 means never.
 	registered time.Duration
 	since      time.Duration
-	asked      time.Duration // when the request under way began
-	sent       bool          // the caller has sent data, up to upTo
+	asked      time.Duration // when the current request began
+	sent       bool          // the caller has sent data, up to sentUpTo
 	upTo       uint32
-	// number is what the caller has acknowledged or is about to; a reset names it.
+	// ackNumber is what the caller has acknowledged or is about to acknowledge. A reset
+	// carries it.
 	number uint32
 }
 
 type flowPhase uint8
 
 const (
-	// flowAsked: a packet of an unknown flow was given to the upstream.
+	// flowUnconfirmed: a packet of an unknown flow was forwarded to the upstream.
 	flowAsked flowPhase = iota
-	// flowOffered: the upstream was given the opening.
+	// flowOffered: the opening was forwarded to the upstream.
 	flowOffered
-	// flowAccepted: the upstream accepted; the caller may have chosen another.
+	// flowAccepted: the upstream accepted. The caller may have chosen another upstream that
+	// accepted the same opening.
 	flowAccepted
 	flowOpen
 )
 
-// pending is a packet that the upstream may bounce.
+// pending is a packet that was forwarded to the upstream, which may bounce it.
 type pending struct {
 	scratch  uint32
 	balancer IP
@@ -51,7 +52,7 @@
 	opening  uint32
 }
 
-// packet takes a packet of an established flow at m[HeaderLen:].
+// handlePacket handles the packet of an established flow in m[HeaderLen:].
 func (a *Agent) packet(from IP, h Message, m []byte, now time.Duration) {
 	p := m[HeaderLen:]
 	k, ok := a.Format.Parse(p)
@@ -66,9 +67,10 @@
 		a.pass(from, h, m)
 		return
 	case !known && (a.closed(k.Flow, now) || h.Flags.has(FlagKnownOnly)):
-		// This agent was started after its upstream, which may hold the flow and may
-		// not be asked. Those who know the flow may still serve it, and nobody else
-		// may put it before a foreign upstream.
+		// This agent started after its upstream. The upstream may hold the flow, but must
+		// not get packets of unknown flows: its zone is evacuated, or the sender asks for
+		// known flows only. Agents that know the flow may still forward the packet, but no
+		// other agent may give it to an upstream that does not hold the flow.
 		h.Flags |= FlagUnsure | FlagKnownOnly
 		a.pass(from, h, m)
 		return
@@ -86,7 +88,8 @@
 		return
 	case f.phase == flowOffered, f.phase == flowAccepted && k.Number != f.accepted+1:
 		// The caller chose another upstream that was offered the same opening. This one
-		// has sent nothing but its acceptance, so there is one number to acknowledge.
+		// has sent only its acceptance, so a caller that chose it acknowledges exactly
+		// accepted+1.
 		a.flows.remove(k.Flow)
 		a.pass(from, h, m)
 		return
@@ -96,7 +99,7 @@
 		a.coming.add(-1, now)
 	}
 	if f.born == 0 {
-		f.born = a.upstream.born // it was not known yet when the flow was seen first
+		f.born = a.upstream.born // was unknown when the agent first saw the flow
 	}
 	f.number = k.Number
 	if h.Flags.has(FlagLookup) || f.phase == flowAsked {
@@ -109,17 +112,18 @@
 	a.give(p, pending{balancer: from, flags: h.Flags})
 }
 
-// mine tells the balancer that looked for the flow that it is here.
+// reportHeld reports to the balancer that looked up the flow that it is here.
 func (a *Agent) mine(k Flow, f *flowState) {
 	f.wanted = false
 	a.Count.Mine++
 	a.hint(f.balancer, Message{Kind: KindMine, Service: a.Service}, k)
 }
 
-// askAnyway gives the packet of an unknown flow to an upstream that has not been
-// heard, and says meanwhile that it can't tell. An agent may be started again beside
-// an upstream that was taken away, which would never answer. If it is there after all,
-// what it bounces is a sure denial.
+// forwardUnconfirmed forwards a packet of an unknown flow to an upstream that has not sent
+// anything yet, and at the same time answers the balancer that the agent can't tell. The
+// agent may have been restarted beside an upstream that was removed and would never
+// answer. If the upstream is there after all, a bounced packet proves that it does not
+// hold the flow.
 func (a *Agent) askAnyway(from IP, h Message, m []byte, now time.Duration) {
 	p := m[HeaderLen:]
 	k, _ := a.Format.Parse(p)
@@ -130,13 +134,14 @@
 	a.give(p, pending{balancer: from, flags: h.Flags})
 }
 
-// closed reports whether nothing more of the flow is sent to the upstream, as its
-// availability zone has been out for a while.
+// isEvacuated reports whether no more packets of the flow may be forwarded to the upstream
+// because its availability zone was evacuated some time ago.
 func (a *Agent) closed(f Flow, now time.Duration) bool {
 	return a.zoneOut && now-a.outSince > a.cutAfter(f)
 }
 
-// cutAfter returns how long the flow may go on in an availability zone that is out.
+// evacuationDelay returns how long the flow may continue after its availability zone was
+// evacuated.
 func (a *Agent) cutAfter(f Flow) time.Duration {
 	bound := a.Evacuation
 	if bound == 0 {
@@ -146,22 +151,24 @@
 	return time.Duration((cutFrom + (cutTill-cutFrom)*part) * float64(bound))
 }
 
-// knowsAll reports whether a flow that the agent does not know is elsewhere, so
-// that no packet of it has to bounce off this upstream.
+// knowsAllFlows reports whether the agent knows every flow of its upstream, so that it can
+// deny an unknown flow without forwarding a packet of it.
 func (a *Agent) knowsAll(now time.Duration) bool {
 	return a.upstream.complete || now > flowLife ||
 		a.upstream.state == UpstreamUnknown && !a.upstream.answers && !a.upstream.listens && now > announcedWithin
 }
 
-// announcedWithin is when an upstream that lives has been heard since its agent started,
-// some of its heartbeats. If nothing accepts a connection there either, there is none.
+// firstAnnouncementTimeout is the time after the start of an agent within which a live
+// upstream announces itself; it covers several heartbeats. If nothing accepts a connection
+// at the upstream's address either, there is no upstream.
 const announcedWithin = 2 * time.Second
 
-// began notices a request that begins with a packet of the caller.
+// trackCallerPacket updates the flow from a packet of the caller, and detects the start of
+// a request.
 //
-// A retransmission that comes after the answer is no request: counted as one it would
-// stay under way, and an upstream of uploads would be held for busy after some minutes.
-// Only data beyond what was seen begins one.
+// Only data beyond what was already sent begins a request. A retransmission that arrives
+// after the answer does not: counted as a request it would never end, and an upstream of
+// uploads would be considered busy after some minutes.
 func (a *Agent) began(k Packet, f *flowState, p []byte, now time.Duration) {
 	if k.Fin || k.Reset {
 		f.finished = true
@@ -186,7 +193,7 @@
 	}
 }
 
-// ended notices that a flow has no request any more.
+// endRequest marks the flow as having no request in progress.
 func (a *Agent) ended(f *flowState) {
 	if f.underWay {
 		f.underWay = false
@@ -194,8 +201,8 @@
 	}
 }
 
-// recount makes the counts anew from the flows, so that no path by which a flow
-// ends unseen can make an upstream seem busy for long.
+// recount recomputes the counts from the flows, so that a flow whose end was missed can't
+// make the upstream look busy for long.
 func (a *Agent) recount(now time.Duration) {
 	a.open, a.underWay = 0, 0
 	for _, f := range a.flows.all() {
@@ -210,8 +217,8 @@
 	}
 }
 
-// pass tells the balancer that the flow of a packet is not here, and gives the packet
-// back unless the balancer has kept it for a lookup.
+// returnPacket reports to the balancer that the flow of a packet is not here. It returns
+// the packet, unless the balancer has kept a copy for a lookup.
 func (a *Agent) pass(to IP, h Message, m []byte) {
 	a.Count.NotMine++
 	r := Message{Kind: KindNotMine, Flags: h.Flags, Service: a.Service}
@@ -225,11 +232,11 @@
 	a.Out.ToProcess(to, m)
 }
 
-// lost ends a flow of the upstream's former life.
+// endLostFlow ends a flow of an earlier run of the upstream, and resets it if it was open.
 //
-// The caller would wait for its deadline for an answer that nobody can give. A
-// reset is right here alone: the flow was open at this very upstream, which has
-// started anew and holds nothing of before.
+// Without the reset the caller would wait until its deadline for an answer that can't
+// come. No other agent may reset the flow: only this one knows that it was open at its own
+// upstream, which has restarted and lost it.
 func (a *Agent) lost(k Packet, f *flowState, now time.Duration) {
 	a.flows.remove(k.Flow)
 	if f.phase != flowOpen || f.finished || k.Reset {
@@ -239,7 +246,7 @@
 	a.cut(k.Flow, f, k.Number, now)
 }
 
-// cut tells the flow's caller that the flow is gone.
+// resetFlow resets the flow for its caller.
 func (a *Agent) cut(k Flow, f *flowState, number uint32, now time.Duration) {
 	a.Count.Resets++
 	a.Log.decide(decision{event: events.FlowCut, flow: k, reason: ReasonGone, version: a.version, age: now - f.since}, now)
@@ -247,7 +254,7 @@
 	a.Out.ToCaller(k.Caller.IP, a.scratch[:n])
 }
 
-// HandleUpstream takes a datagram of the upstream at m[HeaderLen:].
+// HandleUpstream handles a packet from the upstream in m[HeaderLen:].
 func (a *Agent) HandleUpstream(m []byte, now time.Duration) {
 	p := m[HeaderLen:]
 	k, ok := a.Format.ParseOutbound(p)
@@ -272,10 +279,11 @@
 	a.Out.ToCaller(k.Flow.Caller.IP, p)
 }
 
-// learn takes in a flow that an earlier run of the agent gave to the upstream.
+// adoptFlow adds a flow that an earlier run of the agent forwarded to the upstream.
 //
-// An upstream goes on accepting an opening until the caller has answered. Taken for open, a
-// flow whose caller chose another upstream would be reset when this one bounced its packets.
+// An upstream repeats its acceptance until the caller has answered, so the flow of an
+// acceptance is not taken as open. Otherwise a flow whose caller chose another upstream
+// would be reset when this upstream bounces its packets.
 func (a *Agent) learn(k Packet, now time.Duration) {
 	f := &flowState{phase: flowOpen, born: a.upstream.born, since: now, number: k.Seq + uint32(k.Length)}
 	if k.Open {
@@ -287,7 +295,7 @@
 	a.register(k.Flow, f, now)
 }
 
-// answered follows a flow by what its upstream sends.
+// trackUpstreamPacket updates the flow from a packet of the upstream.
 func (a *Agent) answered(k Packet, f *flowState, now time.Duration) {
 	f.number = k.Seq + uint32(k.Length)
 	switch {
@@ -329,10 +337,10 @@
 	a.forgotten(s)
 }
 
-// forgotten takes a flow out of the counts.
+// uncountFlow removes a flow from the counts.
 func (a *Agent) forgotten(s *flowState) {
 	if !a.isPresent(s.born) {
-		return // the counts were of another life
+		return // the counts are those of another run of the upstream
 	}
 	if s.phase == flowOpen {
 		a.open--
@@ -342,7 +350,8 @@
 	}
 }
 
-// bounced sends a packet that the upstream does not take back to where it came from.
+// handleBounced handles a packet that the upstream bounced: it resets a flow that was open
+// there, and otherwise tells the balancer that sent the packet.
 func (a *Agent) bounced(k Packet, m []byte, now time.Duration) {
 	a.Count.Bounced++
 	x := a.pending[k.Scratch%pendingMost]
@@ -352,7 +361,7 @@
 	}
 	f, known := a.flows.get(k.Flow)
 	if known && f.phase == flowOpen && !f.finished {
-		// The upstream has lost what was open there: it started anew.
+		// The upstream lost a flow that was open there, so it has restarted.
 		a.forgotten(f)
 		a.lost(k, f, now)
 		return
--- a/datagram/flows_test.go
+++ b/datagram/flows_test.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// Guards against agents of a zone that is out that swallow packets of other zones' flows.
+// Guards against lookups that end at an agent of an evacuated zone: it drops packets of its
+// own flows, but must answer lookups of flows that it does not hold.
 func TestLookupPassesAZoneThatIsOut(t *testing.T) {
 	const now = 20 * time.Second
 	for name, x := range map[string]struct {
-		first   int64 // sequence of the first announcement: 1 if the agent saw the whole life
+		first   int64 // sequence of the first announcement received; 1 means the agent knows all flows
 		here    bool
 		dropped bool
 		flags   Flags
 	}{
-		"elsewhere, and the agent knows it": {1, false, false, 0},
-		"not known, agent was restarted":    {9, false, false, FlagUnsure | FlagKnownOnly},
-		"here":                              {1, true, true, 0},
+		"agent knows that it is elsewhere": {1, false, false, 0},
+		"unknown to a restarted agent":     {9, false, false, FlagUnsure | FlagKnownOnly},
+		"held by this agent":               {1, true, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSent(t)
@@ -34,17 +35,18 @@
 			h.Put(m, a.Keys[0])
 			a.HandleMessage(1, m, now)
 			if s.upstream != 0 {
-				t.Error("given to the upstream of a zone that is out")
+				t.Error("packet forwarded to the upstream of an evacuated zone")
 			}
 			if x.dropped != (len(s.process) == 0) || !x.dropped && (s.process[0].Kind != KindDenied || s.process[0].Flags&^FlagLookup != x.flags) {
-				t.Errorf("sent %+v", s.process)
+				t.Errorf("unexpected answers %+v", s.process)
 			}
 		})
 	}
 }
 
-// Guards against a flow's packets at foreign upstreams, and against its end without a proof,
-// when an agent in a zone that is out may not ask its upstream for it.
+// Guards against two faults of a lookup that passed an agent in an evacuated zone which
+// can't tell whether its upstream holds the flow: forwarding the packet to upstreams that
+// do not hold the flow, and resetting the flow without proof that it is gone.
 func TestLookupPastAnAgentThatMayNotAsk(t *testing.T) {
 	const now = 20 * time.Second
 	for name, x := range map[string]struct {
@@ -52,10 +54,10 @@
 		here     bool
 		upstream int
 	}{
-		"knows all flows":           {1, false, 0},
-		"would have to ask":         {9, false, 0},
-		"knows that it is here":     {9, true, 1},
-		"knows all, and it is here": {1, true, 1},
+		"agent knows all flows, flow elsewhere": {1, false, 0},
+		"agent would have to ask its upstream":  {9, false, 0},
+		"flow known to be here":                 {9, true, 1},
+		"agent knows all flows, flow here":      {1, true, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSent(t)
@@ -71,16 +73,16 @@
 			h.Put(m, a.Keys[0])
 			a.HandleMessage(1, m, now)
 			if s.upstream != x.upstream {
-				t.Errorf("given to the upstream %d times", s.upstream)
+				t.Errorf("packet forwarded to the upstream %d times", s.upstream)
 			}
 			if !x.here && (len(s.process) != 1 || s.process[0].Flags&^FlagLookup != FlagUnsure|FlagKnownOnly) {
-				t.Errorf("sent %+v", s.process)
+				t.Errorf("sent %+v, want an answer with FlagUnsure and FlagKnownOnly", s.process)
 			}
 		})
 	}
 }
 
-// Guards against callers that wait for a silent agent which can hold no flow.
+// Guards against callers that wait for a silent agent that can't hold any flow.
 func TestSilentAgentMayHoldFlows(t *testing.T) {
 	now := 20 * time.Second
 	for name, x := range map[string]struct {
@@ -89,25 +91,25 @@
 		asks   int
 		want   bool
 	}{
-		"ready":                         {AgentStatus{State: UpstreamReady}, 2 * time.Second, asksUnanswered - 1, true},
-		"ready, for long":               {AgentStatus{State: UpstreamReady}, goneAfter, asksUnanswered, false},
-		"ready, for long, not asked":    {AgentStatus{State: UpstreamReady}, 2 * goneAfter, 0, true},
-		"draining":                      {AgentStatus{State: UpstreamDraining}, 2 * time.Second, asksUnanswered - 1, true},
-		"deregistered":                  {AgentStatus{State: UpstreamGone}, 2 * time.Second, 0, false},
-		"never announced":               {AgentStatus{State: UpstreamUnknown, KnowsAll: true, Uptime: MillisOf(announcedWithin + time.Second)}, 2 * time.Second, 0, false},
-		"never announced, listens":      {AgentStatus{State: UpstreamUnknown, Uptime: MillisOf(announcedWithin + time.Second)}, 2 * time.Second, 0, true},
-		"not announced, just restarted": {AgentStatus{State: UpstreamUnknown, Uptime: MillisOf(time.Second)}, 2 * time.Second, asksUnanswered - 1, true},
+		"ready":                                  {AgentStatus{State: UpstreamReady}, 2 * time.Second, asksUnanswered - 1, true},
+		"ready, silent for long":                 {AgentStatus{State: UpstreamReady}, goneAfter, asksUnanswered, false},
+		"ready, silent for long, never verified": {AgentStatus{State: UpstreamReady}, 2 * goneAfter, 0, true},
+		"draining":                               {AgentStatus{State: UpstreamDraining}, 2 * time.Second, asksUnanswered - 1, true},
+		"deregistered":                           {AgentStatus{State: UpstreamGone}, 2 * time.Second, 0, false},
+		"never announced":                        {AgentStatus{State: UpstreamUnknown, KnowsAll: true, Uptime: MillisOf(announcedWithin + time.Second)}, 2 * time.Second, 0, false},
+		"never announced, listens":               {AgentStatus{State: UpstreamUnknown, Uptime: MillisOf(announcedWithin + time.Second)}, 2 * time.Second, 0, true},
+		"not announced, agent just restarted":    {AgentStatus{State: UpstreamUnknown, Uptime: MillisOf(time.Second)}, 2 * time.Second, asksUnanswered - 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := agentView{status: x.status, heard: now - x.silent, suspicion: suspicion{now - x.silent, x.asks, now - askEvery}}
 			if a.mayLive(now) != x.want {
-				t.Errorf("may hold flows: %t", !x.want)
+				t.Errorf("agent may hold flows: %t", !x.want)
 			}
 		})
 	}
 }
 
-// numbered is a format whose packets end with what they acknowledge.
+// numbered is a format whose packets end with an acknowledgement or sequence number.
 type numbered struct{ plain }
 
 func (numbered) Parse(b []byte) (Packet, bool) {
@@ -122,22 +124,22 @@
 	return p, ok
 }
 
-// Guards against the reset of a flow that lives at another upstream: two accepted the
-// opening with numbers near each other, the caller's packet was taken for a choice of the
-// wrong one, and what that bounced for a flow that it had lost.
+// Guards against resetting a flow that is open at another upstream. Two upstreams accepted
+// the same opening with sequence numbers near each other. The agent took the caller's packet
+// for a choice of its own upstream, and the bounced packet for the loss of an open flow.
 func TestCallerChoosesOneOfTwoUpstreams(t *testing.T) {
 	const accepted = 1 << 31
 	for name, x := range map[string]struct {
 		number    uint32
-		restarted bool // the agent, after the opening was given to its upstream
+		restarted bool // the agent restarted after the opening was forwarded to its upstream
 		chosen    bool
 	}{
-		"this one":               {accepted + 1, false, true},
-		"one with a near number": {accepted + 500, false, false},
-		"one just before":        {accepted, false, false},
-		"another":                {17, false, false},
-		"this one, restarted":    {accepted + 1, true, true},
-		"another, restarted":     {17, true, false},
+		"this upstream":                  {accepted + 1, false, true},
+		"another with a near number":     {accepted + 500, false, false},
+		"another, number just before":    {accepted, false, false},
+		"another":                        {17, false, false},
+		"this upstream, agent restarted": {accepted + 1, true, true},
+		"another, agent restarted":       {17, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSent(t)
@@ -154,10 +156,10 @@
 			h.Put(m, a.Keys[0])
 			a.HandleMessage(1, m, 2*time.Second)
 			if given := s.upstream == 1; given != x.chosen {
-				t.Errorf("given to the upstream: %t", given)
+				t.Errorf("packet forwarded to the upstream: %t", given)
 			}
 			if !x.chosen && (len(s.process) != 1 || s.process[0].Kind != KindNotMine) {
-				t.Errorf("sent %+v", s.process)
+				t.Errorf("sent %+v, want the packet returned to the balancer", s.process)
 			}
 		})
 	}
--- a/datagram/gate.go
+++ b/datagram/gate.go
@@ -7,13 +7,13 @@
 	"pomeloway.example/pomeloway/events"
 )
 
-// The gate decides on openings where all that binds one is known: beside the
-// upstream, which nobody else feeds. A refusal names its reason, and the balancer
-// goes on to another agent, so a wrong belief of a balancer costs one way and back.
-// Given up: agents that pass openings on themselves, which saves that way and
-// needs a list of members in each.
+// An agent does the admission control for its upstream. No other process sends packets to
+// the upstream, so the agent knows everything that an admission depends on. A refusal
+// carries its reason, and the balancer tries another agent, so a balancer with an outdated
+// view costs one round trip. The alternative, agents that forward openings to each other,
+// would save the round trip but needs a list of members in each agent.
 
-// refusal returns why the upstream gets no opening now.
+// refusalReason returns why the upstream must not get the opening now, or ReasonNone.
 func (a *Agent) refusal(h Message, now time.Duration) Reason {
 	u := &a.upstream
 	switch {
@@ -35,16 +35,16 @@
 	return ReasonNone
 }
 
-// recall is what an agent knows of its earlier runs beside the same upstream.
+// recordedState is what earlier runs of the agent have recorded about the upstream.
 type recall uint8
 
 const (
-	recallNothing recall = iota // the record has not been read
+	recallNothing recall = iota // the record has not been read yet
 	recallServing
 	recallDraining
 )
 
-// Recall takes in whether an earlier run recorded that the upstream drains.
+// SetRecordedDraining sets whether an earlier run recorded that the upstream drains.
 func (a *Agent) Recall(draining bool) {
 	a.recalled = recallServing
 	if draining {
@@ -52,22 +52,23 @@
 	}
 }
 
-// mayTry reports whether an upstream may get openings that has not announced itself
-// since this agent started: it is there, it did not drain, and whether its zone is out is
-// known.
+// mayTryUnannounced reports whether an upstream that has not announced itself since this
+// agent started may get openings: something listens at its address, it was not draining,
+// and it is known whether its availability zone is evacuated.
 //
-// After a kill of all processes most agents return long before their upstreams' next
-// heartbeats, and the few upstreams that are heard first can't serve all. Balancers ask
-// the others before. It is held for cold.
+// After all processes were killed, most agents return long before the next heartbeats of
+// their upstreams, and the few upstreams that have announced themselves can't serve all
+// callers. Balancers still prefer upstreams that have announced themselves. The others are
+// treated as cold.
 func (a *Agent) mayTry() bool {
 	return a.upstream.listens && a.revision > 0 && a.recalled == recallServing
 }
 
-// unknownSlots are taken for an upstream's that has not told its own; more than it has
-// would make its requests wait.
+// assumedSlots is used for an upstream that has not announced its slots. If it has fewer,
+// some requests wait.
 const unknownSlots = 4
 
-// size returns how many requests the upstream works on at once.
+// slotCount returns how many requests the upstream processes in parallel.
 func (u *upstream) size() int {
 	if u.state == UpstreamUnknown {
 		return unknownSlots
@@ -75,19 +76,21 @@
 	return max(u.slots, 1)
 }
 
-// work is the requests that the upstream has, or will have in a moment.
+// requests returns the number of requests that the upstream has or will have shortly.
 func (a *Agent) work(now time.Duration) int { return a.underWay + a.coming.count(now) }
 
-// load is the flows and requests there are, or will be in a moment.
+// load returns the number of flows and requests that there are or will be shortly.
 func (a *Agent) load(now time.Duration) uint16 {
 	return uint16(min(a.open+a.work(now), math.MaxUint16))
 }
 
-// busy reports whether the opening should go elsewhere. One that was declined
-// everywhere comes again with another priority, and is taken while there is room.
+// isBusy reports whether the opening should go to another agent. An opening that all agents
+// decline comes again with another priority, and is then accepted while there are free
+// slots.
 //
-// Only the agent knows its load in time: when all callers open at once, the upstreams
-// that are heard first would get several times their share before the next status.
+// Only the agent knows its load in time. When all callers open flows at once, the upstreams
+// that announce themselves first would otherwise get several times their share before the
+// next status.
 func (a *Agent) busy(h Message, now time.Duration) bool {
 	limit := h.Priority.limit()
 	if h.Priority == PriorityFirst && a.BusyAt != 0 {
@@ -96,15 +99,15 @@
 	return limit > 0 && float64(a.work(now)) >= limit*float64(a.upstream.size())
 }
 
-// coming counts openings that were given to the upstream and whose requests have
-// not begun. Some never begin, as the caller chose another upstream, so the count
-// halves with time.
+// expectedRequests counts openings that were forwarded to the upstream and whose requests
+// have not begun. Some never begin because the caller chose another upstream, so the count
+// decays exponentially.
 type coming struct {
 	n  float64
 	at time.Duration
 }
 
-// comingHalf is some ways between caller and upstream and back.
+// expectedHalfLife is a few round trips between caller and upstream.
 const comingHalf = 20 * time.Millisecond
 
 func (c *coming) add(n float64, now time.Duration) {
@@ -117,7 +120,7 @@
 	return int(c.n)
 }
 
-// offer gives an opening to the upstream, or tells the balancer why not.
+// handleOpening forwards an opening to the upstream, or refuses it.
 func (a *Agent) offer(from IP, h Message, p []byte, now time.Duration) {
 	k, ok := a.Format.Parse(p)
 	if !ok || !k.Open {
@@ -146,7 +149,7 @@
 	a.give(p, pending{balancer: from, opening: h.Opening})
 }
 
-// give hands a packet to the upstream and remembers where it goes if bounced.
+// sendUpstream forwards a packet to the upstream, and remembers it in case it is bounced.
 func (a *Agent) give(p []byte, x pending) {
 	if a.last++; a.last == 0 {
 		a.last++
@@ -163,7 +166,7 @@
 	a.hint(to, Message{Kind: KindRefused, Reason: r, Requests: uint8(min(a.work(now), math.MaxUint8)), Opening: h.Opening, Service: a.Service, Load: a.load(now)}, f)
 }
 
-// hint sends a balancer a message about a flow.
+// sendFlowMessage sends a message about a flow to a balancer.
 func (a *Agent) hint(to IP, h Message, f Flow) {
 	m := a.scratch[:HeaderLen+flowLen]
 	f.put(m[HeaderLen:])
--- a/datagram/gate_test.go
+++ b/datagram/gate_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards against openings that an upstream may not get, whatever balancers believe.
+// Guards against openings that an upstream must not get, whatever view balancers have of it.
 func TestAgentIsTheGateForOpenings(t *testing.T) {
 	const now = 10 * time.Second
 	ready := Announcement{Service: 7, Born: 5, Sequence: 1, Slots: 5}
@@ -18,34 +18,34 @@
 		opening Message
 		want    Reason
 	}{
-		"ready":                  {func(a *Agent) { a.Announce(&ready, now) }, Message{Service: 7}, ReasonNone},
-		"other service":          {func(a *Agent) { a.Announce(&ready, now) }, Message{Service: 8}, ReasonService},
-		"upstream not heard yet": {func(*Agent) {}, Message{Service: 7}, ReasonUnknown},
-		"not heard yet, it listens, zones not known": {func(a *Agent) { a.Recall(false); a.Probed(ProbeAccepted, now) }, Message{Service: 7}, ReasonUnknown},
-		"not heard yet, it listens, records not read": {func(a *Agent) {
+		"ready":           {func(a *Agent) { a.Announce(&ready, now) }, Message{Service: 7}, ReasonNone},
+		"another service": {func(a *Agent) { a.Announce(&ready, now) }, Message{Service: 8}, ReasonService},
+		"not announced":   {func(*Agent) {}, Message{Service: 7}, ReasonUnknown},
+		"not announced, listens, evacuated zones unknown": {func(a *Agent) { a.Recall(false); a.Probed(ProbeAccepted, now) }, Message{Service: 7}, ReasonUnknown},
+		"not announced, listens, record not read": {func(a *Agent) {
 			a.Probed(ProbeAccepted, now)
 			a.setZonesOut(nil, 9, now)
 		}, Message{Service: 7}, ReasonUnknown},
-		"not heard yet, it listens, drained before": {func(a *Agent) {
+		"not announced, listens, recorded as draining": {func(a *Agent) {
 			a.Recall(true)
 			a.Probed(ProbeAccepted, now)
 			a.setZonesOut(nil, 9, now)
 		}, Message{Service: 7}, ReasonUnknown},
-		"drained before, another life": {func(a *Agent) {
+		"recorded as draining, another run": {func(a *Agent) {
 			a.Recall(true)
 			a.Announce(&ready, now)
 		}, Message{Service: 7}, ReasonNone},
-		"not heard yet, it listens": {func(a *Agent) {
+		"not announced, listens": {func(a *Agent) {
 			a.Recall(false)
 			a.Probed(ProbeAccepted, now)
 			a.setZonesOut(nil, 9, now)
 		}, Message{Service: 7}, ReasonNone},
-		"not heard yet, it listens, zone out": {func(a *Agent) {
+		"not announced, listens, zone evacuated": {func(a *Agent) {
 			a.Recall(false)
 			a.Probed(ProbeAccepted, now)
 			a.setZonesOut([]ZoneKey{3}, 9, now)
 		}, Message{Service: 7}, ReasonZoneOut},
-		"not heard yet, held for cold": {func(a *Agent) {
+		"not announced, listens, cold limit reached": {func(a *Agent) {
 			a.Recall(false)
 			a.Probed(ProbeAccepted, now)
 			a.setZonesOut(nil, 9, now)
@@ -56,20 +56,20 @@
 			a.probed = now - time.Millisecond
 			a.Probed(ProbeRefused, now)
 		}, Message{Service: 7}, ReasonGone},
-		"announced while it was tried": {func(a *Agent) {
+		"announced during the probe": {func(a *Agent) {
 			a.probed = now - time.Second
 			a.Announce(&ready, now)
 			a.Probed(ProbeRefused, now)
 		}, Message{Service: 7}, ReasonNone},
-		"draining": {func(a *Agent) { a.Announce(&draining, now) }, Message{Service: 7}, ReasonDraining},
-		"gone":     {func(a *Agent) { a.Announce(&ready, now); a.Deregister("", now) }, Message{Service: 7}, ReasonGone},
-		"zone out": {func(a *Agent) { a.Announce(&ready, now); a.setZonesOut([]ZoneKey{3}, 9, now) }, Message{Service: 7}, ReasonZoneOut},
-		"zone out, older word": {func(a *Agent) {
+		"draining":       {func(a *Agent) { a.Announce(&draining, now) }, Message{Service: 7}, ReasonDraining},
+		"deregistered":   {func(a *Agent) { a.Announce(&ready, now); a.Deregister("", now) }, Message{Service: 7}, ReasonGone},
+		"zone evacuated": {func(a *Agent) { a.Announce(&ready, now); a.setZonesOut([]ZoneKey{3}, 9, now) }, Message{Service: 7}, ReasonZoneOut},
+		"zone evacuated in an older revision": {func(a *Agent) {
 			a.Announce(&ready, now)
 			a.setZonesOut(nil, 9, now)
 			a.setZonesOut([]ZoneKey{3}, 8, now)
 		}, Message{Service: 7}, ReasonNone},
-		"zone back": {func(a *Agent) {
+		"evacuation ended": {func(a *Agent) {
 			a.Announce(&ready, now)
 			a.setZonesOut([]ZoneKey{3}, 8, now)
 			a.setZonesOut(nil, 9, now)
@@ -79,9 +79,9 @@
 		"busy, repeated":         {func(a *Agent) { a.Announce(&ready, now); a.underWay = 10 }, Message{Service: 7, Priority: PriorityRepeated}, ReasonBusy},
 		"busy, repeated, urgent": {func(a *Agent) { a.Announce(&ready, now); a.underWay = 10 }, Message{Service: 7, Priority: PriorityUrgent}, ReasonNone},
 		"full, repeated, urgent": {func(a *Agent) { a.Announce(&ready, now); a.underWay = 15 }, Message{Service: 7, Priority: PriorityUrgent}, ReasonBusy},
-		"a slot's worth of room": {func(a *Agent) { a.Announce(&ready, now); a.underWay = 9 }, Message{Service: 7}, ReasonNone},
+		"almost busy":            {func(a *Agent) { a.Announce(&ready, now); a.underWay = 9 }, Message{Service: 7}, ReasonNone},
 		"cold, no limit":         {func(a *Agent) { a.Announce(&cold, now) }, Message{Service: 7}, ReasonNone},
-		"cold, used up": {func(a *Agent) {
+		"cold, limit reached": {func(a *Agent) {
 			a.Announce(&cold, now)
 			a.upstream.bucket.take(0.5, now)
 		}, Message{Service: 7, Cold: ColdRateOf(0.5)}, ReasonCold},
@@ -97,20 +97,21 @@
 			a.HandleMessage(1, b, now)
 			if x.want == ReasonNone {
 				if s.upstream != 1 || len(s.process) != 0 {
-					t.Errorf("given %d times, answers %+v", s.upstream, s.process)
+					t.Errorf("opening forwarded %d times, answers %+v", s.upstream, s.process)
 				}
 				return
 			}
 			if s.upstream != 0 || len(s.process) != 1 || s.process[0].Kind != KindRefused || s.process[0].Reason != x.want {
-				t.Errorf("given %d times, answers %+v", s.upstream, s.process)
+				t.Errorf("opening forwarded %d times, answers %+v", s.upstream, s.process)
 			}
 		})
 	}
 }
 
-// Guards against the flows of a zone that is out ending all at once, or after the bound.
+// Guards against the flows of an evacuated zone ending all at once, or after the evacuation
+// bound.
 func TestFlowsOfAZoneThatIsOutEndOneByOne(t *testing.T) {
-	for name, bound := range map[string]time.Duration{"usual": 0, "short": 2 * time.Second} {
+	for name, bound := range map[string]time.Duration{"default": 0, "short": 2 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			a := &Agent{Zone: 3, Evacuation: bound, Format: plain{}, Out: newSent(t)}
 			a.Start()
@@ -122,23 +123,24 @@
 			for port := range uint16(1000) {
 				f := Flow{Caller: Endpoint{1, port}, Address: Endpoint{2, 443}}
 				if a.closed(f, time.Second+bound/2) {
-					t.Fatal("a flow ended in the first half of the bound")
+					t.Fatal("a flow ended in the first half of the evacuation")
 				}
 				if !a.closed(f, time.Second+bound) {
-					t.Fatal("a flow goes on after the bound")
+					t.Fatal("a flow continues after the evacuation bound")
 				}
 				ends[a.cutAfter(f)*10/bound]++
 			}
 			for tenth := range time.Duration(3) {
 				if n := ends[6+tenth]; n < 200 || n > 350 {
-					t.Errorf("%d of 1000 end in tenth %d of the bound", n, 6+tenth)
+					t.Errorf("%d of 1000 flows end in tenth %d of the evacuation", n, 6+tenth)
 				}
 			}
 		})
 	}
 }
 
-// Guards against upstreams that are held for busy by retransmissions after the answer.
+// Guards against an upstream that looks busy because retransmissions after the answer are
+// counted as requests.
 func TestRetransmissionAfterTheAnswerIsNoRequest(t *testing.T) {
 	a := &Agent{Format: plain{}}
 	a.Start()
@@ -147,12 +149,12 @@
 	piece(1)
 	piece(101)
 	if a.underWay != 1 {
-		t.Fatalf("%d under way", a.underWay)
+		t.Fatalf("%d requests in progress, want 1", a.underWay)
 	}
 	a.answered(Packet{Length: 5}, f, time.Second)
 	piece(101)
 	if a.underWay != 0 {
-		t.Errorf("%d under way after the answer", a.underWay)
+		t.Errorf("%d requests in progress after the answer", a.underWay)
 	}
 	piece(201)
 	if a.underWay != 1 {
--- a/datagram/homes.go
+++ b/datagram/homes.go
@@ -7,17 +7,17 @@
 	"pomeloway.example/pomeloway/fleet"
 )
 
-// Each flow has two home balancers, which rendezvous hashing chooses of those that are
-// alive. The agent that holds the flow tells them so, and a balancer that does not know
-// where the flow is asks them. So a lookup costs the same in any fleet.
+// Each flow has two homes: balancers chosen by rendezvous hashing among those that are
+// alive. The agent that holds the flow reports it to them, and a balancer that does not know
+// where the flow is asks them. So a lookup costs the same in a fleet of any size.
 
-// homesEach is how many homes a flow has, so that one of them may die.
+// homesPerFlow is the number of homes of a flow, so that one of them may fail.
 const homesEach = 2
 
-// homeSet is the balancers among which homes are chosen.
+// homeSet is a set of balancers from which homes are chosen.
 type homeSet struct {
-	ips []IP // in order
-	// digest tells sets apart. Processes with other sets may choose other homes.
+	ips []IP // sorted
+	// digest identifies the set. Processes with different sets may choose different homes.
 	digest uint64
 }
 
@@ -27,7 +27,7 @@
 	return homeSet{ips, digestOf(ips)}
 }
 
-// digestOf returns a digest of the set of addresses, in whatever order they are.
+// digestOf returns a digest of the set of addresses. Their order does not matter.
 func digestOf(ips []IP) uint64 {
 	d := uint64(0)
 	for _, ip := range ips {
@@ -36,13 +36,13 @@
 	return d
 }
 
-// homesSalt keeps the digest apart from the ranks of addresses.
+// homesSalt makes the digest independent of the ranks of addresses.
 const homesSalt = 0x686f6d6573
 
-// homes are a flow's home balancers; 0 stands where there is none.
+// homes are the home balancers of a flow. An element is 0 if there are fewer balancers.
 type homes [homesEach]IP
 
-// of returns the homes of the flow.
+// homesOf returns the homes of the flow.
 func (s *homeSet) of(f Flow) homes {
 	var h homes
 	var top [homesEach]uint64
@@ -64,25 +64,25 @@
 
 func (h homes) has(ip IP) bool { return slices.Contains(h[:], ip) }
 
-// knows reports whether the digest is that of the set.
+// hasDigest reports whether the set is not empty and has the digest.
 func (s *homeSet) knows(digest uint64) bool { return len(s.ips) > 0 && s.digest == digest }
 
 func (s *homeSet) equal(o *homeSet) bool { return slices.Equal(s.ips, o.ips) }
 
-// homeSilentLeast keeps a balancer a home through a restart.
+// minHomeTimeout lets a balancer stay a home while it restarts.
 const homeSilentLeast = 6 * time.Second
 
-// homeSilentAfter is how long a balancer may be silent before its flows get another
-// home, in a fleet with so many balancers.
+// homeTimeout returns how long a balancer may be silent before its flows get another home,
+// in a fleet of the given number of balancers.
 func homeSilentAfter(balancers int) time.Duration {
 	return max(homeSilentLeast, 3*farEvery(balancers))
 }
 
-// holdersMost bounds the agents that are remembered for one flow.
+// maxHolders bounds the agents that are recorded for one flow.
 const holdersMost = 3
 
-// holders are the agents that said that they hold a flow, the latest first. Two
-// upstreams may have accepted one opening, and ports are used again.
+// holders are the agents that reported to hold a flow, the latest first. There can be
+// several, as two upstreams may have accepted the same opening, and callers reuse ports.
 type holders [holdersMost]IP
 
 func (h *holders) add(ip IP) {
--- a/datagram/lookup.go
+++ b/datagram/lookup.go
@@ -7,66 +7,73 @@
 	"pomeloway.example/pomeloway/events"
 )
 
-// A lookup finds the agent of a flow that the balancer does not remember. It asks the
-// flow's homes. If they do not know it, agents are asked themselves, in the order of a
-// hash and first those that were started after their upstreams, whose flows no home may
-// know. If all homes know all flows and every agent that they are unsure of denied it,
-// the flow is gone and its caller is told. The cost does not depend on the size of the
-// fleet. While an agent may live that is not heard, nothing is proved and callers wait.
+// A lookup finds the agent of a flow that the balancer does not remember. It first asks the
+// flow's homes. If they do not know the flow, it asks agents, in order of their rank for
+// the flow, beginning with agents that started after their upstreams: the homes may lack
+// their flows.
+//
+// The flow is gone, and its caller gets a reset, if the answers of all homes are
+// authoritative and every agent that the homes do not cover denied the flow. While an
+// unreachable agent may still be alive nothing is proved, and the caller waits. The cost
+// does not depend on the size of the fleet.
 
 const (
-	// lookupsMost bounds the lookups under way, and packetsMost the packets kept of each.
-	// One more takes the place of the oldest, whose caller repeats its packet.
+	// maxLookups bounds the lookups in progress, and maxLookupPackets the packets kept for
+	// each. One more lookup replaces the oldest, which its caller restarts by retransmitting.
 	lookupsMost = 512
 	packetsMost = 4
-	// homeWithin is how long homes have for an answer, and agentWithin an agent:
-	// a way between availability zones and back, and a busy process.
+	// homeAnswerTimeout and agentAnswerTimeout cover a round trip between availability zones
+	// and a busy process.
 	homeWithin  = 40 * time.Millisecond
 	agentWithin = 40 * time.Millisecond
-	// roundFirst and roundMost space the rounds of a lookup, each twice the one before.
+	// minRoundInterval and maxRoundInterval bound the interval between the rounds of a
+	// lookup, which doubles with each round.
 	roundFirst = 100 * time.Millisecond
 	roundMost  = 400 * time.Millisecond
-	// roundOfAny is the first round that asks agents whose flows the homes should know:
-	// by then agents that reach their homes have told them.
+	// anyAgentRound is the first round that also asks agents that know all flows of their
+	// upstreams. By then such agents have reported their flows to the homes that they can
+	// reach.
 	roundOfAny = 4
-	// askedEach bounds the agents that one round asks.
+	// maxAsksPerRound bounds the agents that are asked in one round.
 	askedEach = 8
-	// lookupFor is over the time in which VMs return, and in which one that does not
-	// is held for gone.
+	// lookupTimeout is longer than VMs take to return, and longer than it takes until an
+	// agent that does not return is considered gone.
 	lookupFor = goneAfter + 500*time.Millisecond
-	// lookupShort is when a lookup is looked at again that the budget holds up.
+	// budgetRetryDelay is the delay before a lookup continues that exceeded the message
+	// budget.
 	lookupShort = 5 * time.Millisecond
-	// lookupUsual is the messages of lookups a second where the VM's size is not known.
+	// defaultLookupRate is the limit of lookup messages per second if the VM's size is not
+	// known.
 	lookupUsual = 2000
 )
 
-// lookup is the search for one flow.
+// lookup is the search for the agent of one flow.
 type lookup struct {
 	flow    Flow
-	number  uint32 // what the caller acknowledged last
+	number  uint32 // the caller's last acknowledgement
 	ended   bool   // the caller has reset the flow
 	packets [][]byte
 	since   time.Duration
-	due     time.Duration // when it is looked at again
-	pause   time.Duration // before the next round
+	due     time.Duration // when the next step is due
+	pause   time.Duration // interval before the next round
 	round   int
 	homes   homes
-	asking  bool            // the homes have been asked in this round
-	told    [homesEach]bool // which homes have answered
-	sure    [homesEach]bool // and would know the flow if any agent but the unsure held it
-	holders []IP            // named by homes
-	unsure  []IP            // agents that homes can't speak for
+	asking  bool            // the homes were asked in this round and may still answer
+	told    [homesEach]bool // the home has answered
+	sure    [homesEach]bool // its answer is authoritative: it knows the flows of all agents but the uncovered
+	holders []IP            // agents that homes named
+	unsure  []IP            // agents whose flows the homes do not know completely
 	asked   []IP
-	// answered are those that denied the flow, or said that they can't tell.
+	// answered are the agents that denied the flow or reported that they can't tell.
 	answered []IP
 	denied   []IP
-	left     int  // agents that may be asked in this round
+	left     int  // how many more agents may be asked in this round
 	resting  bool // the round is over
-	agent    IP   // is being asked; 0: none
+	agent    IP   // the agent that was asked and has not answered; 0 means none
 	flags    Flags
 }
 
-// lookups are those under way, the oldest first in the queue.
+// lookups are the lookups in progress. The queue holds the oldest first.
 type lookups struct {
 	byFlow map[Flow]*lookup
 	queue  []*lookup
@@ -74,19 +81,19 @@
 	next   time.Duration
 }
 
-// wake has the lookup looked at again at the time.
+// schedule sets when the lookup's next step is due.
 func (x *lookups) wake(l *lookup, at time.Duration) {
 	l.due = at
 	x.next = min(x.next, at)
 }
 
-// LookupRate returns the messages a second that a VM of so many cores and so much
-// bandwidth, in Mbit/s, can spend on lookups: a quarter of either. It is 0 if neither
-// is known.
+// LookupRate returns how many lookup messages per second a VM can afford, given its cores
+// and its bandwidth in Mbit/s: a quarter of either resource. It returns 0 if neither is
+// known.
 func LookupRate(cores, bandwidth float64) float64 {
 	const (
 		share       = 0.25
-		messageCost = 40e-6 // of a core, to send or take one and what follows
+		messageCost = 40e-6 // core seconds to send or receive a message and handle what follows
 		messageBits = 8 * 400
 	)
 	rate := 0.0
@@ -98,8 +105,9 @@
 	return rate
 }
 
-// look begins a lookup with the packet at m[HeaderLen:], or adds the packet to the one
-// under way. The agent that denied it, if any, is not asked again.
+// lookUp starts a lookup for the packet in m[HeaderLen:], or adds the packet to the lookup
+// in progress. If an agent has just denied the flow, it is passed as denied and is not asked
+// again.
 func (b *Balancer) look(m []byte, p Packet, denied IP, now time.Duration) {
 	l := b.lookups.byFlow[p.Flow]
 	if l == nil {
@@ -139,12 +147,12 @@
 	}
 }
 
-// startRound asks the homes, and agents after them.
+// startLookupRound asks the homes, and then agents.
 func (b *Balancer) startRound(l *lookup, now time.Duration) {
 	l.round++
 	l.left, l.asking, l.resting = askedEach, true, false
-	// Holders, and those that did not answer, are asked again, as what they were given may
-	// be lost.
+	// Holders and agents that did not answer are asked again, as the question may have
+	// been lost.
 	l.asked = slices.DeleteFunc(l.asked, func(ip IP) bool {
 		return !slices.Contains(l.denied, ip) && (slices.Contains(l.holders, ip) || !slices.Contains(l.answered, ip))
 	})
@@ -171,12 +179,12 @@
 	b.send(appendFlow(b.scratch[:HeaderLen], l.flow), Message{Kind: KindLocate}, ip)
 }
 
-// spend takes a message of lookups out of the budget.
+// takeBudget reports whether the budget allows another lookup message, and uses it up.
 func (b *Balancer) spend(now time.Duration) bool {
 	return b.lookups.budget.take(b.LookupRate, now)
 }
 
-// tell takes in what the i-th home says.
+// addHomeAnswer records the answer of the i-th home.
 func (l *lookup) tell(i int, holders, unsure []IP, sure bool) {
 	l.told[i], l.sure[i] = true, sure && len(holders) < holdersMost
 	for _, ip := range holders {
@@ -187,7 +195,7 @@
 	l.unsure = append(l.unsure, unsure...)
 }
 
-// hearLocated takes in a home's answer.
+// handleLocated handles a home's answer.
 func (b *Balancer) hearLocated(from IP, p []byte, now time.Duration) {
 	unsure, ls, ok := decodeLocated(p)
 	if !ok {
@@ -206,7 +214,7 @@
 	}
 }
 
-// step does what the lookup can do now.
+// advance takes the next steps that are possible without waiting.
 func (b *Balancer) step(l *lookup, now time.Duration) {
 	if l.agent != 0 {
 		return
@@ -229,7 +237,7 @@
 	}
 	b.Log.decide(decision{event: events.FlowNotFound, flow: l.flow, reason: l.unproved(), hop: uint8(min(len(l.asked), 255)), version: b.Configured(), age: now - l.since}, now)
 	b.Count.NotFound++
-	if l.left > 0 { // nobody is left to ask
+	if l.left > 0 { // every candidate was asked, so the next round starts over
 		l.asked = slices.Clone(l.denied)
 	}
 	l.resting = true
@@ -237,7 +245,7 @@
 	l.pause = min(2*l.pause, roundMost)
 }
 
-// nextHolder returns an agent that a home named and that was not asked.
+// nextHolder returns an agent that a home named and that was not asked yet, or 0.
 func (l *lookup) nextHolder() IP {
 	for _, ip := range l.holders {
 		if !slices.Contains(l.asked, ip) {
@@ -247,9 +255,9 @@
 	return 0
 }
 
-// nextAgent returns the next agent of the flow's services to be asked without a home's
-// word: if the homes are sure, one that they are unsure of; else one that does not know
-// all flows of its upstream, and in late rounds any.
+// nextAgent returns the next agent to ask that no home named, or nil. If all homes are
+// authoritative, only uncovered agents are candidates. Before anyAgentRound, only agents
+// that do not know all flows of their upstreams are.
 func (b *Balancer) nextAgent(l *lookup, now time.Duration) *agentView {
 	sure := !slices.Contains(l.sure[:], false)
 	return b.bestAgent(l, now, func(a *agentView) bool {
@@ -257,13 +265,13 @@
 	})
 }
 
-// agentToHear returns an agent that would answer at once that it does not hold the flow.
+// agentForCheck returns an agent that would answer at once that it does not hold the flow.
 func (b *Balancer) agentToHear(l *lookup, now time.Duration) *agentView {
 	return b.bestAgent(l, now, func(a *agentView) bool { return a.status.KnowsAll })
 }
 
-// bestAgent returns the agent of the flow's services that ranks first of those that may
-// be asked, nil if there is none or the round has asked enough.
+// bestAgent returns the eligible agent of the flow's services with the highest rank that
+// was not asked yet. It returns nil if there is none or the round has asked enough agents.
 func (b *Balancer) bestAgent(l *lookup, now time.Duration, may func(*agentView) bool) *agentView {
 	if b.config == nil || l.left == 0 {
 		return nil
@@ -283,7 +291,7 @@
 	return best.agent
 }
 
-// askAgent gives the flow's first packet to an agent.
+// askAgent sends the flow's first packet to an agent.
 func (b *Balancer) askAgent(l *lookup, ip IP, now time.Duration) {
 	if !b.spend(now) {
 		b.lookups.wake(l, now+lookupShort)
@@ -304,7 +312,7 @@
 	b.send(l.packets[0], h, ip)
 }
 
-// denied takes in an agent's word that it does not hold a flow.
+// handleNotHeld handles an agent's answer that it does not hold a flow or can't tell.
 func (b *Balancer) denied(from IP, h Message, p []byte, now time.Duration) {
 	f, ok := flowFrom(p)
 	if !ok {
@@ -327,7 +335,7 @@
 	b.step(l, now)
 }
 
-// found takes in an agent's word that it holds a flow, and gives it what was kept.
+// handleHeld handles an agent's report that it holds a flow: it sends the kept packets.
 func (b *Balancer) found(from IP, f Flow, now time.Duration) {
 	b.flows.set(f, place{agent: from})
 	l := b.lookups.byFlow[f]
@@ -338,14 +346,14 @@
 	b.Log.decide(decision{event: events.FlowFound, flow: f, agent: from, hop: uint8(min(len(l.asked), 255)), version: b.Configured(), age: now - l.since}, now)
 	n := 0
 	if slices.Contains(l.asked, from) {
-		n = 1 // it has the first
+		n = 1 // the agent already got the first packet
 	}
 	for _, m := range l.packets[n:] {
 		b.send(m, Message{Kind: KindPacket}, from)
 	}
 }
 
-// unproved returns why the flow may be open although it was not found.
+// notFoundReason returns why the flow may still be open although it was not found.
 func (l *lookup) unproved() Reason {
 	switch {
 	case slices.Contains(l.told[:], false):
@@ -356,7 +364,7 @@
 	return ReasonAgentSilent
 }
 
-// gone reports whether no agent holds the flow.
+// isGone reports whether it is proved that no agent holds the flow.
 func (b *Balancer) gone(l *lookup, now time.Duration) bool {
 	if slices.Contains(l.sure[:], false) || l.ended {
 		return false
@@ -370,9 +378,9 @@
 	return true
 }
 
-// cutIfConnected tells the caller that its flow is gone once an agent was heard since the
-// lookup began. This balancer may just have been cut off together with both homes, which
-// then do not know what agents told since.
+// resetIfConnected resets the flow for its caller once a message from any agent has
+// arrived since the lookup began. Otherwise this balancer may have just been cut off
+// together with both homes, which then lack what agents reported since.
 func (b *Balancer) cutIfConnected(l *lookup, now time.Duration) {
 	if b.agentHeard > l.since {
 		b.cutFlow(l, now)
@@ -387,7 +395,7 @@
 	b.lookups.wake(l, now+lookupShort)
 }
 
-// cutFlow tells the caller that its flow is gone.
+// resetFlow resets a flow that is gone for its caller.
 func (b *Balancer) cutFlow(l *lookup, now time.Duration) {
 	b.endLookup(l)
 	b.flows.remove(l.flow)
@@ -396,7 +404,7 @@
 	b.reset(l.flow, l.number)
 }
 
-// lookAgain does what is due of the lookups under way.
+// runLookups continues the lookups whose next step is due.
 func (b *Balancer) lookAgain(now time.Duration) {
 	x := &b.lookups
 	if now < x.next {
@@ -412,7 +420,7 @@
 		case l.resting:
 			b.startRound(l, now)
 		default:
-			l.agent = 0 // it did not answer
+			l.agent = 0 // the agent did not answer in time
 			b.step(l, now)
 		}
 		x.next = min(x.next, l.due)
--- a/datagram/lookup_test.go
+++ b/datagram/lookup_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// testFlow is the flow of plainPacket with the port.
+// testFlow returns the flow of plainPacket with the given caller port.
 func testFlow(port uint16) Flow {
 	p, _ := plain{}.Parse(plainPacket(plainData, port)[HeaderLen:])
 	return p.Flow
 }
 
-// asks returns the agents that were given packets, in order.
+// askedAgents returns the agents that were sent packets, in order.
 func (s *sent) asks() []IP {
 	var ips []IP
 	for i, m := range s.process {
@@ -28,68 +28,68 @@
 	b.HandleMessage(ip, message(b, Message{Kind: KindDenied, Flags: f}, appendFlow(nil, testFlow(port))), now)
 }
 
-// message returns a message as it comes from another process.
+// message encodes a message as another process would send it.
 func message(b *Balancer, h Message, p []byte) []byte {
 	m := append(make([]byte, HeaderLen), p...)
 	h.Put(m, b.Keys[0])
 	return m
 }
 
-// goOn has the balancer hear an agent, and go on with its lookups.
+// resumeLookups lets the balancer receive a message from an agent and continues its lookups.
 func goOn(b *Balancer, now time.Duration) {
 	b.HandleMessage(3, message(b, Message{Kind: KindRefused}, nil), now+time.Millisecond)
 	b.lookAgain(now + lookupShort)
 }
 
-// Guards against the reset of a flow that lives, and against callers of lost flows that
-// are told nothing.
+// Guards against resetting live flows, and against leaving callers of lost flows without an
+// answer.
 func TestEndOfALookup(t *testing.T) {
 	for name, x := range map[string]struct {
 		prepare func(b *Balancer, now time.Duration)
-		denies  Flags // what those that are asked say
+		denies  Flags // flags in the answers of the asked agents
 		asked   int
 		resets  int
 	}{
-		"homes know of all flows": {func(*Balancer, time.Duration) {}, 0, 0, 1},
-		"one started after its upstream, denies": {func(b *Balancer, _ time.Duration) {
+		"homes know all flows": {func(*Balancer, time.Duration) {}, 0, 0, 1},
+		"agent started after its upstream, denies the flow": {func(b *Balancer, _ time.Duration) {
 			b.agents.byIP[2].status.KnowsAll = false
 		}, 0, 1, 1},
-		"one started after its upstream, can't tell": {func(b *Balancer, _ time.Duration) {
+		"agent started after its upstream, can't tell": {func(b *Balancer, _ time.Duration) {
 			b.agents.byIP[2].status.KnowsAll = false
 		}, FlagUnsure, 1, 0},
-		"one of another service started after its upstream": {func(b *Balancer, now time.Duration) {
+		"agent of another service started after its upstream": {func(b *Balancer, now time.Duration) {
 			b.agents.hear(9, AgentStatus{Life: 9, Sequence: 1, Service: 8, State: UpstreamReady, Homes: b.homes.digest}, now)
 		}, 0, 0, 0},
-		"an entry did not arrive": {func(b *Balancer, _ time.Duration) {
+		"an entry is missing": {func(b *Balancer, _ time.Duration) {
 			b.agents.byIP[1].status.Entries = 1
 		}, 0, 0, 0},
-		"one chooses among other balancers": {func(b *Balancer, _ time.Duration) {
+		"agent chooses homes from another set": {func(b *Balancer, _ time.Duration) {
 			b.agents.byIP[1].status.Homes++
 		}, 0, 0, 0},
-		"records not read": {func(b *Balancer, _ time.Duration) { b.settled = false }, 0, 0, 0},
-		"one silent for two seconds": {func(b *Balancer, now time.Duration) {
+		"member records not read": {func(b *Balancer, _ time.Duration) { b.settled = false }, 0, 0, 0},
+		"agent silent for two seconds": {func(b *Balancer, now time.Duration) {
 			b.agents.byIP[1].heard = now - 2*time.Second
 		}, 0, 0, 0},
-		"one silent for long": {func(b *Balancer, now time.Duration) {
+		"agent silent for long": {func(b *Balancer, now time.Duration) {
 			leaveUnanswered(b, 1, now)
 		}, 0, 0, 1},
-		"one silent for long, not asked": {func(b *Balancer, now time.Duration) {
+		"agent silent for long, never verified": {func(b *Balancer, now time.Duration) {
 			b.agents.byIP[1].heard = now - 2*goneAfter
 		}, 0, 0, 0},
-		"most silent for long": {func(b *Balancer, now time.Duration) {
+		"most agents silent for long": {func(b *Balancer, now time.Duration) {
 			leaveUnanswered(b, 1, now)
 			leaveUnanswered(b, 2, now)
 		}, 0, 0, 0},
-		"one recorded now, not heard": {func(b *Balancer, now time.Duration) {
+		"agent just recorded, never heard": {func(b *Balancer, now time.Duration) {
 			b.SetMembers([]Member{{IP: 9, Agent: true, Service: 7}}, true, now)
 		}, 0, 0, 0},
-		"one recorded for long, not heard": {func(b *Balancer, now time.Duration) {
+		"agent recorded for long, never heard": {func(b *Balancer, now time.Duration) {
 			b.SetMembers([]Member{{IP: 9, Agent: true, Service: 7}}, true, now-2*unheardAfter)
 		}, 0, 0, 1},
 		"the other home does not answer": {func(b *Balancer, now time.Duration) {
 			addPeer(b, 101, now)
 		}, 0, 0, 0},
-		"too many may hold it": {func(b *Balancer, _ time.Duration) {
+		"too many holders": {func(b *Balancer, _ time.Duration) {
 			b.directory.flows.set(testFlow(5), holders{7, 8, 9})
 		}, 0, 3, 0},
 	} {
@@ -109,14 +109,14 @@
 	}
 }
 
-// leaveUnanswered has an agent that was heard long ago leave the balancer's questions
-// unanswered.
+// leaveUnanswered makes an agent one that was heard long ago and has not answered the
+// balancer's questions.
 func leaveUnanswered(b *Balancer, ip IP, now time.Duration) {
 	a := b.agents.byIP[ip]
 	a.heard, a.suspicion = now-2*goneAfter, suspicion{now - goneAfter, asksUnanswered, now - askEvery}
 }
 
-// addPeer has the balancer hear another one, by which agents know it too.
+// addPeer adds another balancer that is alive, and makes the agents know it too.
 func addPeer(b *Balancer, ip IP, now time.Duration) {
 	b.meet(ip, now)
 	b.peers[ip].heard = now
@@ -126,14 +126,14 @@
 	}
 }
 
-// tellHome answers a lookup for another balancer.
+// answerAsHome delivers another balancer's answer to a lookup.
 func tellHome(b *Balancer, from IP, port uint16, now time.Duration, holders ...IP) {
 	p := appendFlow([]byte{0}, testFlow(port))
 	b.hearLocated(from, appendIPs(append(p, byte(len(holders))), holders), now)
 }
 
-// Guards against a flow that is reset by a balancer that does not know to which service
-// its route led before: the home's word counts, whatever service the agent is of.
+// Guards against resetting a flow because its address is now routed to another service. The
+// balancer must ask an agent that a home names whatever service that agent belongs to.
 func TestHomeFindsAFlowOfAFormerService(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 3, now-200*time.Millisecond)
@@ -142,16 +142,16 @@
 	b.HandleCaller(plainPacket(plainData, 5), now)
 	tellHome(b, 101, 5, now, 9)
 	if got := s.asks(); len(got) != 1 || got[0] != 9 || s.caller != 0 {
-		t.Fatalf("asked %v, resets %d", got, s.caller)
+		t.Fatalf("asked %v, %d resets, want agent 9 and no reset", got, s.caller)
 	}
 	b.found(9, testFlow(5), now)
 	b.HandleCaller(plainPacket(plainData, 5), now)
 	if got := s.asks(); len(got) != 2 || got[1] != 9 {
-		t.Errorf("the flow is not remembered at its agent: %v", got)
+		t.Errorf("asked %v, want the second packet sent to agent 9", got)
 	}
 }
 
-// Guards against a lookup that ends at an agent that does not answer.
+// Guards against a lookup that stops at an agent that does not answer.
 func TestLookupGoesOnPastASilentAgent(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 4, now-200*time.Millisecond)
@@ -165,12 +165,12 @@
 	}
 	got := slices.Sorted(slices.Values(s.asks()))
 	if !slices.Equal(got, []IP{1, 2, 3, 4}) || s.caller != 0 {
-		t.Errorf("asked %v, resets %d", s.asks(), s.caller)
+		t.Errorf("asked %v, %d resets, want all four agents and no reset", s.asks(), s.caller)
 	}
 }
 
-// Guards against a lookup that asks all others before the agent that holds the flow, as its
-// question was lost.
+// Guards against a lookup whose question to the holder was lost, and which asks all other
+// agents before it asks the holder again.
 func TestLookupAsksAgainWhoDidNotAnswer(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 20, now-200*time.Millisecond)
@@ -192,8 +192,8 @@
 	}
 }
 
-// Guards against agents that are given a flow's packets before one whose availability
-// zone is out and that may hold it, and drops them.
+// Guards against forwarding packets to other upstreams before the agents of an evacuated
+// zone were asked. Such an agent may hold the flow, and drops its packets.
 func TestLookupAsksAZoneThatIsOutFirst(t *testing.T) {
 	now := 10 * time.Second
 	for port := range uint16(50) {
@@ -211,30 +211,30 @@
 		}
 		goOn(b, now)
 		if got := s.asks(); len(got) != 6 || got[0] > 2 || got[1] > 2 || got[0] == got[1] || s.caller != 1 {
-			t.Fatalf("asked %v, resets %d", got, s.caller)
+			t.Fatalf("asked %v, %d resets, want agents 1 and 2 first, then the others, then a reset", got, s.caller)
 		}
 		for _, m := range s.process {
 			if m.Kind == KindPacket && !m.Flags.has(FlagKnownOnly) {
-				t.Fatal("an agent that does not know the flow may give it to its upstream")
+				t.Fatal("an agent that does not know the flow may forward the packet to its upstream")
 			}
 		}
 	}
 }
 
-// Guards against callers of lost flows that wait for their own retransmissions while
-// VMs return one after another.
+// Guards against callers of lost flows that have to retransmit while VMs return one after
+// another. The lookup must be repeated by itself.
 func TestLookupIsMadeAgainWhenAllAreKnown(t *testing.T) {
 	for name, x := range map[string]struct {
 		meanwhile func(b *Balancer, now time.Duration)
 		resets    int
 	}{
-		"all are known": {func(b *Balancer, now time.Duration) { hearAgent(b, 2, now) }, 1},
-		"one is not":    {func(*Balancer, time.Duration) {}, 0},
+		"all agents reachable":  {func(b *Balancer, now time.Duration) { hearAgent(b, 2, now) }, 1},
+		"one agent unreachable": {func(*Balancer, time.Duration) {}, 0},
 		"the flow was found": {func(b *Balancer, now time.Duration) {
 			hearAgent(b, 2, now)
 			b.found(2, testFlow(5), now)
 		}, 0},
-		"its caller has reset it": {func(b *Balancer, now time.Duration) {
+		"caller has reset the flow": {func(b *Balancer, now time.Duration) {
 			hearAgent(b, 2, now)
 			b.lookups.byFlow[testFlow(5)].ended = true
 		}, 0},
@@ -245,7 +245,7 @@
 			b.agents.byIP[2].heard = now - 2*time.Second
 			b.HandleCaller(plainPacket(plainData, 5), now)
 			if s.caller != 0 {
-				t.Fatal("reset though one agent is not heard")
+				t.Fatal("flow reset although one agent is unreachable")
 			}
 			x.meanwhile(b, now)
 			b.Tick(now + roundFirst)
@@ -259,15 +259,15 @@
 	}
 }
 
-// hearAgent has the balancer hear an agent of testBalancer again.
+// receiveStatus lets the balancer receive a new status of an agent of testBalancer.
 func hearAgent(b *Balancer, ip IP, now time.Duration) {
 	s := b.agents.byIP[ip].status
 	s.Sequence++
 	b.agents.hear(ip, s, now)
 }
 
-// Guards against a storm of lookups that takes a small VM's link and processor, and
-// against memory that grows with it.
+// Guards against many concurrent lookups that exhaust a small VM's bandwidth, processor or
+// memory.
 func TestLookupsAreBounded(t *testing.T) {
 	const callers = 3 * lookupsMost
 	now := 10 * time.Second
@@ -280,7 +280,7 @@
 		b.HandleCaller(plainPacket(plainData, 100+port), now)
 	}
 	if n := len(b.lookups.queue); n != lookupsMost || len(b.lookups.byFlow) != n {
-		t.Fatalf("%d lookups under way, %d by flow", n, len(b.lookups.byFlow))
+		t.Fatalf("%d lookups in the queue, %d by flow", n, len(b.lookups.byFlow))
 	}
 	for end := now + lookupFor + time.Second; now < end; now += lookupShort {
 		for ip := range b.agents.byIP {
@@ -289,15 +289,14 @@
 		b.Tick(now)
 	}
 	if n, most := len(s.asks()), int(1.5*b.LookupRate*(lookupFor+time.Second).Seconds()); n > most || n == 0 {
-		t.Errorf("asked %d times, want at most %d", n, most)
+		t.Errorf("asked agents %d times, want 1 to %d times", n, most)
 	}
 	if len(b.lookups.queue) != 0 {
-		t.Errorf("%d lookups go on", len(b.lookups.queue))
+		t.Errorf("%d lookups continue after their timeout", len(b.lookups.queue))
 	}
 }
 
-// Guards against openings and lookups that wait for each other: the budget is that of
-// lookups alone.
+// Guards against openings that are delayed by the message budget of lookups.
 func TestOpeningsAreNotHeldUpByLookups(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 3, now)
@@ -310,27 +309,27 @@
 	}
 	b.HandleCaller(plainPacket(plainOpening, 1), now)
 	if s.process[len(s.process)-1].Kind != KindOpening {
-		t.Error("an opening waits for lookups")
+		t.Error("an opening was delayed by lookups")
 	}
 }
 
 func TestLookupRateFollowsTheVM(t *testing.T) {
 	for name, x := range map[string]struct{ cores, bandwidth, least, most float64 }{
-		"small link":      {1, 10, 700, 800},
-		"small processor": {0.061, 1000, 350, 400},
-		"not known":       {0, 0, 0, 0},
-		"link alone":      {0, 10, 700, 800},
+		"small link":          {1, 10, 700, 800},
+		"small processor":     {0.061, 1000, 350, 400},
+		"unknown":             {0, 0, 0, 0},
+		"only the link known": {0, 10, 700, 800},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if r := LookupRate(x.cores, x.bandwidth); r < x.least || r > x.most {
-				t.Errorf("%v messages a second", r)
+				t.Errorf("%v messages per second", r)
 			}
 		})
 	}
 }
 
-// Guards against a home that denies a flow which its agent told to others, as it chooses
-// homes among other balancers.
+// Guards against a home that denies a flow although its agent chooses homes from another set
+// of balancers and has therefore reported the flow to other homes.
 func TestHomeIsUnsureOfFlowsThatOthersWereTold(t *testing.T) {
 	now := 10 * time.Second
 	b, _ := testBalancer(t, 3, now)
@@ -343,22 +342,22 @@
 		b.locate(101, appendFlow(nil, testFlow(port)), now)
 		_, ls, ok := decodeLocated(b.Out.(*withPayload).last)
 		if !ok || len(ls) != 1 || ls[0].flow != testFlow(port) {
-			t.Fatalf("answer %v", ls)
+			t.Fatalf("decoded answer %v, want one flow", ls)
 		}
 		h := others.of(testFlow(port))
 		if ls[0].sure != h.has(testSelf) {
-			t.Fatalf("sure: %t of a flow with homes %v", ls[0].sure, h)
+			t.Fatalf("authoritative: %t for a flow with homes %v", ls[0].sure, h)
 		}
 		if ls[0].sure {
 			sure++
 		}
 	}
 	if sure < 60 || sure > 140 {
-		t.Errorf("sure of %d of 200 flows, want about half", sure)
+		t.Errorf("authoritative for %d of 200 flows, want about half", sure)
 	}
 }
 
-// withPayload keeps the last message's payload.
+// payloadRecorder records the payload of the last message.
 type withPayload struct {
 	*sent
 	last []byte
@@ -376,7 +375,7 @@
 	f.Fuzz(func(t *testing.T, p []byte) {
 		unsure, ls, ok := decodeLocated(p)
 		if !ok && (unsure != nil || ls != nil) {
-			t.Error("half an answer")
+			t.Error("a failed decode returned part of an answer")
 		}
 	})
 }
--- a/datagram/message.go
+++ b/datagram/message.go
@@ -7,44 +7,45 @@
 	"pomeloway.example/pomeloway/link"
 )
 
-// Kind is what a message between a balancer and an agent means.
+// Kind is the type of a message between balancers and agents.
 type Kind uint8
 
-// Kinds of messages.
+// Message kinds. An opening is the packet with which a caller asks for a new flow, like
+// a TCP SYN. A home is a balancer that keeps the locations of some flows; see homes.go.
 const (
-	// KindOpening carries a caller's opening to an agent, which answers with
+	// KindOpening carries a caller's opening to an agent, which replies with
 	// KindOpened or KindRefused.
 	KindOpening Kind = 1 + iota
 	// KindPacket carries any other packet of a caller to an agent.
 	KindPacket
-	// KindOpened: the agent's upstream accepted the flow.
+	// KindOpened reports that the agent's upstream accepted the flow.
 	KindOpened
-	// KindRefused: the agent did not give the opening to its upstream, or the
-	// upstream refused it.
+	// KindRefused reports that the agent did not forward the opening to its upstream, or
+	// that the upstream refused it.
 	KindRefused
-	// KindNotMine gives a packet back whose flow the agent's upstream does not hold.
+	// KindReturned returns a packet of a flow that the agent's upstream does not hold.
 	KindNotMine
-	// KindDenied: the flow, which is looked for, is not at this agent.
+	// KindNotHeld answers a lookup: the flow is not at this agent.
 	KindDenied
-	// KindMine: the flow, which was looked for, is at this agent.
+	// KindHeld answers a lookup: the flow is at this agent.
 	KindMine
 	// KindAgent and KindBalancer carry the sender's status.
 	KindAgent
 	KindBalancer
-	// KindSilent is a balancer's word that an agent near it fell silent: the
-	// agent's address and life.
+	// KindSilent reports that the statuses of an agent near the sending balancer are
+	// overdue; see cadence.go. It carries the agent's address and life.
 	KindSilent
-	// KindEntries tells a home which flows an agent holds, and KindResend asks the
-	// agent to tell all of them again.
+	// KindEntries lists flows that an agent holds, for a home of these flows. KindResend
+	// asks the agent to send the complete list again.
 	KindEntries
 	KindResend
-	// KindLocate asks a home which agents hold flows, and KindLocated answers.
+	// KindLocate asks a home which agents hold the given flows. KindLocated is the answer.
 	KindLocate
 	KindLocated
 	kindEnd
 )
 
-// ofAgent reports whether an agent sends messages of the kind.
+// isFromAgent reports whether agents send messages of this kind.
 func (k Kind) ofAgent() bool {
 	switch k {
 	case KindOpened, KindRefused, KindNotMine, KindDenied, KindMine, KindAgent, KindEntries:
@@ -57,40 +58,45 @@
 type Message struct {
 	Kind   Kind
 	Reason Reason
-	// Priority is that of an opening, Requests what the upstream has in a refusal.
+	// Priority is set in openings. Requests is set in refusals: the number of requests at
+	// the upstream.
 	Priority Priority
 	Requests uint8
-	// Flags say how a flow is looked for.
+	// Flags are set in lookups and in the answers to them.
 	Flags Flags
-	// Opening names an attempt at an opening to the balancer that made it.
+	// Opening is the number that the balancer gave to this attempt to open a flow.
 	Opening uint32
 	Service ServiceKey
-	// Cold is what the configuration lets an upstream in cold start take.
+	// Cold is set in openings: the rate limit of new flows for an upstream in cold start.
 	Cold ColdRate
-	// Load is the flows and requests at the agent, in what agents answer.
+	// Load is set in messages from agents: the number of flows and requests at the agent.
 	Load uint16
 }
 
-// Flags go with a packet whose flow is looked for, and with answers.
+// Flags qualify a packet that is sent to look up its flow, and the answers to it.
 type Flags uint8
 
 const (
-	// FlagUnsure: who answers can't tell whether the flow is gone.
+	// FlagUnsure marks an answer of an agent that can't tell whether its upstream holds
+	// the flow.
 	FlagUnsure Flags = 1 << iota
-	// FlagLookup: the sender does not know where the flow is, and wants to be told.
+	// FlagLookup marks a packet whose sender does not know where the flow is and wants
+	// an answer.
 	FlagLookup
-	// FlagKnownOnly: only an agent that knows the flow may give the packet to its
-	// upstream, as the flow may be at one that nothing may be sent to.
+	// FlagKnownOnly lets only an agent that knows the flow forward the packet to its
+	// upstream. It is set when the flow may be at an agent that must not forward packets
+	// of unknown flows.
 	FlagKnownOnly
 )
 
 func (f Flags) has(x Flags) bool { return f&x != 0 }
 
-// ColdRate is new flows a second in tenths; 0 means that cold start is no limit.
+// ColdRate is a number of new flows per second, in tenths. 0 means no limit during cold
+// start.
 type ColdRate uint16
 
-// ColdRateOf returns the rate of so many a second. One that is there is never
-// rounded to none.
+// ColdRateOf converts a rate in flows per second. A positive rate is never rounded down
+// to 0, which would mean no limit.
 func ColdRateOf(perSecond float64) ColdRate {
 	if perSecond <= 0 {
 		return 0
@@ -100,18 +106,19 @@
 
 func (r ColdRate) perSecond() float64 { return float64(r) / 10 }
 
-// HeaderLen is the length of a message's header in bytes.
+// HeaderLen is the length of a message header in bytes.
 const HeaderLen = 28
 
 const (
 	messageMagic = 0xd7
 	atTag        = 20
-	// coveredLen of a packet's first bytes are under the tag, enough to bind the
-	// header to the flow; the ends of the flow authenticate the rest.
+	// maxAuthenticatedLen is how many of the first bytes of a caller's packet the tag covers
+	// at most. They bind the header to the flow. The endpoints of the flow authenticate the
+	// rest.
 	coveredLen = 31
 )
 
-// covered returns how much of the payload is under the tag.
+// authenticatedLen returns how many of the n payload bytes the tag covers.
 func (k Kind) covered(n int) int {
 	switch k {
 	case KindOpening, KindPacket, KindNotMine:
@@ -120,7 +127,8 @@
 	return n
 }
 
-// Put writes the header before the payload that starts at b[HeaderLen].
+// Put writes the header into b[:HeaderLen]. The payload in b[HeaderLen:] must already be
+// there, as the tag covers it.
 func (m *Message) Put(b []byte, k link.Key) {
 	_ = b[HeaderLen-1]
 	b[0], b[1], b[2], b[3], b[4] = messageMagic, byte(m.Kind), byte(k.ID()), byte(m.Reason), m.Requests
@@ -136,8 +144,8 @@
 	binary.BigEndian.PutUint64(b[atTag:], k.Tag(b[:atTag], b[HeaderLen:HeaderLen+m.Kind.covered(len(b)-HeaderLen)]))
 }
 
-// Get reads the header of b and returns the payload. It is false for a message
-// of an unknown sender, which must change nothing.
+// Get reads the header of b and returns the payload. It returns false for a malformed or
+// unauthenticated message, which callers must ignore.
 func (m *Message) Get(b []byte, ks link.Keys) ([]byte, bool) {
 	if len(b) < HeaderLen || b[0] != messageMagic || b[1] == 0 || b[1] >= byte(kindEnd) {
 		return nil, false
@@ -159,10 +167,10 @@
 	return b[HeaderLen:], true
 }
 
-// Reason is why an agent refused an opening, or a balancer a packet.
+// Reason is why an agent refused an opening, or why a balancer refused or dropped a packet.
 type Reason uint8
 
-// Reasons.
+// Reasons. Their names in the log are in reasonNames.
 const (
 	ReasonNone Reason = iota
 	ReasonService
@@ -189,7 +197,7 @@
 	"noRoute", "noAgent", "notFound", "noAnswer", "upstreamGone", "cutOff", "homeSilent", "homeUnsure", "agentSilent",
 }
 
-// String returns the reason as it stands in the log.
+// String returns the name of the reason in the log.
 func (r Reason) String() string {
 	if r >= reasonEnd {
 		return "unknown"
--- a/datagram/message_test.go
+++ b/datagram/message_test.go
@@ -17,7 +17,7 @@
 	return link.NewKeys(r)
 }
 
-// Guards against messages of strangers, and those with a bit changed on the way.
+// Guards against accepting forged messages and messages damaged in transit.
 func TestMessagesOfStrangersAreRefused(t *testing.T) {
 	ks := testKeys(t)
 	for name, m := range map[string]Message{
@@ -30,13 +30,13 @@
 			m.Put(b, ks[0])
 			var got Message
 			if p, ok := got.Get(b, ks); !ok || got != m || len(p) != coveredLen {
-				t.Fatalf("%+v", got)
+				t.Fatalf("message decoded as %+v", got)
 			}
 			for i := range len(b) * 8 {
 				c := append([]byte(nil), b...)
 				c[i/8] ^= 1 << (i % 8)
 				if _, ok := new(Message).Get(c, ks); ok {
-					t.Errorf("bit %d changed and believed", i)
+					t.Errorf("message accepted with bit %d flipped", i)
 				}
 			}
 		})
@@ -47,16 +47,16 @@
 	a := AgentStatus{Life: 1, Sequence: 2, Uptime: 3, Service: 4, Zone: 5, State: UpstreamDraining, Leaving: true, Slots: 6, Flows: 7, UnderWay: 8, Cold: 9}
 	var got AgentStatus
 	if b := a.append(nil); !got.decode(b) || got != a || len(b) != agentStatusLen {
-		t.Errorf("%+v", got)
+		t.Errorf("agent status decoded as %+v", got)
 	}
 	b := BalancerStatus{Life: 1, Version: 2, Revision: 3, Leaving: true, Detached: true, Zones: []ZoneKey{4, 5}, Balancers: []IP{6, 7, 8}}
 	var back BalancerStatus
 	if !back.decode(b.append(nil)) || !reflect.DeepEqual(back, b) {
-		t.Errorf("%+v", back)
+		t.Errorf("balancer status decoded as %+v", back)
 	}
 	b.Zones, b.Balancers = make([]ZoneKey, 500), make([]IP, 500)
 	if x := b.append(nil); len(x) > 1400 || !back.decode(x) {
-		t.Errorf("a status of %d bytes", len(x))
+		t.Errorf("balancer status of %d bytes does not fit a datagram or can't be decoded", len(x))
 	}
 }
 
@@ -68,7 +68,7 @@
 	f.Fuzz(func(t *testing.T, p []byte) {
 		var a AgentStatus
 		if a.decode(p) && a.State >= upstreamStateEnd {
-			t.Errorf("state %d", a.State)
+			t.Errorf("decoded an invalid upstream state %d", a.State)
 		}
 		var b BalancerStatus
 		b.decode(p)
@@ -84,7 +84,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var m Message
 		if p, ok := m.Get(b, ks); ok && len(p) != len(b)-HeaderLen {
-			t.Error("payload is not the rest")
+			t.Error("the payload is not the rest of the message")
 		}
 	})
 }
--- a/datagram/openings.go
+++ b/datagram/openings.go
@@ -8,25 +8,27 @@
 	"pomeloway.example/pomeloway/events"
 )
 
-// An opening is kept until an agent says that its upstream accepted it, so that
-// one that is lost, refused or sent to a dead agent goes to the next at once
-// instead of waiting for the caller's copy.
+// An opening is a caller's packet that asks for a new flow. The balancer keeps it until an
+// agent reports that its upstream accepted the flow. If the opening is lost, refused or
+// sent to a dead agent, the next agent gets it at once, without waiting for the caller's
+// retransmission.
 
 const (
-	// answerWithin is how long an agent has for an opening at least, and answerMost at
-	// most, on a balancer that is slow to read answers: less than the caller waits
-	// before it repeats itself.
+	// minAnswerTimeout and maxAnswerTimeout bound how long the balancer waits for an
+	// agent's answer to an opening. The timeout grows on a balancer that is slow to read
+	// answers, but stays below the caller's retransmission interval.
 	answerWithin = 60 * time.Millisecond
 	answerMost   = 150 * time.Millisecond
-	// openingLife is how long a caller waits for its flow, less the way of the answer.
+	// openingTimeout is how long a caller waits for its flow, less the time that the answer
+	// takes to reach it.
 	openingLife = 1300 * time.Millisecond
-	// triedMost bounds the agents that one opening goes to in one round.
+	// maxAttempts bounds the agents that an opening is sent to in one round.
 	triedMost = 16
-	// openingsMost bounds the openings under way. One beyond it takes the place of the
-	// oldest, which is then repeated by its caller alone.
+	// maxOpenings bounds the openings in progress. One more replaces the oldest, which then
+	// continues only when its caller retransmits it.
 	openingsMost = 1024
-	// roomAfter is when an opening is tried again that found all agents full: about a
-	// request's work, in which some slots come free.
+	// capacityRetryDelay is the delay before an opening that found all agents busy is tried
+	// again. It is about the time of one request, in which some slots become free.
 	roomAfter    = 40 * time.Millisecond
 	openingBytes = 128
 )
@@ -40,23 +42,23 @@
 	started  time.Duration
 	tried    [triedMost]IP
 	asked    int
-	silent   bool // an agent that was asked did not answer, so it may still run
-	idlest   IP   // the least busy of the agents that were busy, with its requests
+	silent   bool // some agent did not refuse for good: the caller is not reset
+	idlest   IP   // the least loaded of the busy agents, with its load
 	requests uint16
-	busy     bool     // some agent was busy, and will have room
-	priority Priority // at which it was sent
-	forced   bool     // the idlest was told to take it
-	waits    bool     // all were busy; it is tried again at the deadline
+	busy     bool     // some agent was busy, so capacity will become free
+	priority Priority // priority at which it was last sent
+	forced   bool     // it was already sent at a retry priority in this round
+	waits    bool     // all agents were busy; it is tried again at the deadline
 	urgent   bool
 	aim      time.Duration
 	packet   [HeaderLen + openingBytes]byte
 	length   int
 	service  ServiceKey
-	deadline time.Duration // 0: nothing is waited for
+	deadline time.Duration // 0 means none
 }
 
-// openings is a ring of attempts, and a queue of their deadlines. There are two
-// lengths of waiting, so a new deadline stands at the queue's end or near it.
+// openings is a ring buffer of openings, and a queue of their deadlines in order of time.
+// There are only two kinds of delays, so a new deadline belongs at or near the queue's end.
 type openings struct {
 	ring    []opening
 	last    uint32
@@ -64,12 +66,13 @@
 	answers answerTimes
 }
 
-// answerTimes follows how long answers take, as RFC 6298 does round trips: on a balancer
-// that is behind with its work they wait before they are read, and openings that were
-// given to the next agent meanwhile would be that much more work for both.
+// answerTimes estimates the answer timeout from the time that answers take, with the
+// algorithm of RFC 6298 for round-trip times. On an overloaded balancer answers wait before
+// they are read. With a fixed timeout it would send the openings to further agents
+// meanwhile, which adds to the load of both.
 type answerTimes struct{ mean, deviation time.Duration }
 
-// add takes in the time that an answer took.
+// add adds one measured answer time.
 func (t *answerTimes) add(d time.Duration) {
 	if t.mean == 0 {
 		t.mean, t.deviation = d, d/2
@@ -79,13 +82,13 @@
 	t.mean += (d - t.mean) / 8
 }
 
-// limit returns how long an agent has.
+// timeout returns how long to wait for an agent's answer.
 func (t *answerTimes) limit() time.Duration {
 	return min(max(answerWithin, t.mean+4*t.deviation), answerMost)
 }
 
-// deadline is when an agent's time for the opening ends. It is void once the
-// opening has another.
+// deadline is an entry of the queue. It is stale if the opening has got another deadline
+// since.
 type deadline struct {
 	id uint32
 	at time.Duration
@@ -111,13 +114,13 @@
 	return o
 }
 
-// wait gives the agent that is asked its time.
+// startTimeout starts the timeout for the agent that was sent the opening.
 func (x *openings) wait(o *opening, now time.Duration) {
 	o.at = now
 	x.wake(o, now+x.answers.limit())
 }
 
-// wake gives the opening its next deadline, and the queue its order.
+// setDeadline sets the opening's deadline and inserts it into the queue in order.
 func (x *openings) wake(o *opening, at time.Duration) {
 	o.deadline = at
 	i := len(x.queue)
@@ -127,8 +130,8 @@
 	x.queue = slices.Insert(x.queue, i, deadline{o.id, at})
 }
 
-// answered notes the time of an answer; one that comes when another agent is asked has
-// taken no longer than since the opening began.
+// recordAnswer measures the time of an answer. For an answer from an earlier agent, whose
+// send time is no longer known, the time since the opening began is an upper bound.
 func (x *openings) answered(o *opening, from IP, now time.Duration) {
 	since := o.at
 	if o.agent != from {
@@ -137,7 +140,7 @@
 	x.answers.add(now - since)
 }
 
-// due returns when the first deadline is.
+// nextDeadline returns the earliest deadline.
 func (x *openings) due() time.Duration {
 	for len(x.queue) > 0 {
 		d := x.queue[0]
@@ -149,7 +152,7 @@
 	return math.MaxInt64
 }
 
-// open takes a caller's opening at m[HeaderLen:].
+// handleOpening handles a caller's opening in m[HeaderLen:].
 func (b *Balancer) open(m []byte, p Packet, now time.Duration) {
 	b.Count.Openings++
 	if at, ok := b.flows.get(p.Flow); ok {
@@ -158,13 +161,13 @@
 			return
 		}
 		if a := b.agents.byIP[at.agent]; at.opening == 0 && a != nil && a.missed == 0 {
-			// The upstream's acceptance was lost on its way; it sends it again.
+			// The upstream's acceptance was lost; this makes the upstream send it again.
 			b.send(m, Message{Kind: KindOpening, Service: a.status.Service, Cold: b.cold(a.status.Service)}, a.ip)
 			return
 		}
 	}
 	if b.config == nil {
-		return // the caller's copy comes when the configuration may be here
+		return // the caller retransmits; there may be a configuration by then
 	}
 	r, ok := b.config.Routes[p.Flow.Address]
 	s, served := r.pick(p.Flow.hash())
@@ -186,7 +189,7 @@
 	b.try(o, now)
 }
 
-// again starts another round for a caller's copy of an opening.
+// repeatOpening starts another round when the caller retransmits its opening.
 func (b *Balancer) again(o *opening, now time.Duration) {
 	if o.deadline != 0 {
 		return // an agent is being asked
@@ -195,7 +198,7 @@
 	b.try(o, now)
 }
 
-// room tries an opening again that found all agents full, at the idlest of them.
+// retryWaiting tries an opening again that found all agents busy.
 func (b *Balancer) room(o *opening, now time.Duration) {
 	o.waits = false
 	p := o.repeated(now)
@@ -211,7 +214,8 @@
 	}
 }
 
-// copyAge is how long before a caller's copy of an opening the first was sent.
+// retransmissionAge returns how long after the first copy of an opening a caller sends its
+// n-th retransmission.
 func copyAge(n uint32) time.Duration {
 	switch n {
 	case 0:
@@ -222,7 +226,7 @@
 	return 600 * time.Millisecond
 }
 
-// try sends the opening to the next agent.
+// tryNextAgent sends the opening to the next agent, or ends the round if there is none.
 func (b *Balancer) try(o *opening, now time.Duration) {
 	var a *agentView
 	var c class
@@ -249,13 +253,14 @@
 	}
 }
 
-// insists reports whether the idlest agent may take the opening at its next priority.
+// canForce reports whether leastBusy is expected to accept the opening at its retry
+// priority.
 func (o *opening) insists(b *Balancer, now time.Duration) bool {
 	a := b.agents.byIP[o.idlest]
 	return a != nil && !o.forced && !a.busy(o.repeated(now), now)
 }
 
-// ask gives the opening to the agent.
+// sendOpening sends the opening to the agent.
 func (b *Balancer) ask(o *opening, a *agentView, c class, p Priority, now time.Duration) {
 	o.agent = a.ip
 	a.asked++
@@ -269,9 +274,9 @@
 
 func (b *Balancer) cold(s ServiceKey) ColdRate { return ColdRateOf(b.config.Services[s].ColdRate) }
 
-// exhausted ends a round in which every agent was asked. If all refused, no
-// upstream has the flow and the caller is told at once; if one was silent, the
-// caller's own copy starts the next round.
+// endOpeningRound ends a round in which every agent was asked. If all agents refused, no
+// upstream has the flow and its caller gets a reset at once. If some answer was
+// inconclusive, the caller's retransmission starts the next round.
 func (b *Balancer) exhausted(o *opening, now time.Duration) {
 	o.deadline = 0
 	if o.busy && now-o.started < openingLife-roomAfter {
@@ -290,7 +295,7 @@
 	b.drop(o)
 }
 
-// waitForRoom lets the opening wait until some upstream may have room.
+// waitForCapacity schedules the next try for when some upstream may have a free slot.
 func (b *Balancer) waitForRoom(o *opening, now time.Duration) {
 	o.waits, o.busy = true, true
 	b.openings.wake(o, now+roomAfter)
@@ -301,14 +306,14 @@
 	*o = opening{}
 }
 
-// refuse resets an opening that no upstream has been given, or that all refused.
+// refuse resets an opening that no agent was sent, or that all agents refused.
 func (b *Balancer) refuse(f Flow, seq uint32, why Reason, now time.Duration) {
 	b.Count.Resets++
 	b.Log.decide(decision{event: events.OpeningRefused, flow: f, reason: why, version: b.Configured()}, now)
 	b.reset(f, seq)
 }
 
-// reset tells the flow's caller that there is no such flow.
+// sendReset resets the flow for its caller.
 func (b *Balancer) reset(f Flow, seq uint32) {
 	n := b.Format.PutReset(b.scratch[:], f, seq)
 	b.Out.ToCaller(f.Caller.IP, b.scratch[:n])
@@ -345,9 +350,9 @@
 	}
 	switch h.Reason {
 	case ReasonUnknown, ReasonSilent:
-		o.silent = true // its upstream may still answer, or be known in a moment
+		o.silent = true // its upstream may still answer, or announce itself soon
 	case ReasonBusy:
-		o.silent, o.busy = true, true // it will have room before the caller gives up
+		o.silent, o.busy = true, true // a slot will be free before the caller gives up
 		if a := b.agents.byIP[from]; a != nil {
 			a.decline(o.priority, int(h.Requests), now)
 		}
@@ -359,7 +364,7 @@
 	b.try(o, now)
 }
 
-// retry goes on to the next agent for openings that were not answered in time.
+// retryExpired tries the next agent for openings whose deadline has passed.
 func (b *Balancer) retry(now time.Duration) {
 	for b.openings.due() <= now {
 		o := b.openings.get(b.openings.queue[0].id)
--- a/datagram/openings_test.go
+++ b/datagram/openings_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards against openings that wait one after another for an agent that is dead.
+// Guards against openings that each wait for the timeout of the same dead agent.
 func TestUnansweredOpeningMovesTheAgentBehind(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 4, now-100*time.Millisecond)
@@ -14,25 +14,26 @@
 	now += answerWithin
 	b.Tick(now)
 	if len(s.to) != 2 || s.to[1] == dead {
-		t.Fatalf("sent to %v", s.to)
+		t.Fatalf("opening sent to %v, want a second agent after the timeout", s.to)
 	}
 	for port := range uint16(50) {
 		b.HandleCaller(plainPacket(plainOpening, 100+port), now)
 		if s.to[len(s.to)-1] == dead {
-			t.Fatal("the silent agent is asked first again")
+			t.Fatal("an opening was sent to the silent agent first again")
 		}
 	}
 	b.agents.hear(dead, AgentStatus{Life: Life(dead), Sequence: 2, Service: 7, State: UpstreamReady, Slots: 5}, now)
 	if b.agents.byIP[dead].class(now, nil) != classReady {
-		t.Error("an agent that is heard again is still doubted")
+		t.Error("an agent that sent a status again is still doubted")
 	}
 }
 
-// Guards against openings that wait for the caller's copy while upstreams get room.
+// Guards against openings that wait for the caller's retransmission although slots have
+// become free.
 func TestOpeningWaitsForRoomAtTheBalancer(t *testing.T) {
 	for name, x := range map[string]struct {
 		urgent   bool
-		first    int // askings before it waits
+		first    int // attempts before it waits
 		priority Priority
 	}{
 		"urgent":     {true, 4, PriorityUrgent},
@@ -50,12 +51,12 @@
 				busy()
 			}
 			if len(s.to) != x.first || s.caller != 0 {
-				t.Fatalf("asked %v, resets %d", s.to, s.caller)
+				t.Fatalf("opening sent to %v, %d resets", s.to, s.caller)
 			}
 			now += roomAfter
 			b.Tick(now)
 			if len(s.to) != x.first+1 || s.process[x.first].Priority != x.priority {
-				t.Fatalf("asked %v with priority %d after %v", s.to, s.process[len(s.to)-1].Priority, roomAfter)
+				t.Fatalf("opening sent to %v, last with priority %d, after waiting %v", s.to, s.process[len(s.to)-1].Priority, roomAfter)
 			}
 			for range 100 {
 				busy()
@@ -63,13 +64,14 @@
 				b.Tick(now)
 			}
 			if n := len(s.to); n < 20 || n > 40 {
-				t.Errorf("asked %d times in all; the caller gave up after 1.4 s", n)
+				t.Errorf("opening sent %d times in total; its caller gave up after 1.4 s", n)
 			}
 		})
 	}
 }
 
-// Guards against openings that wait and together ask more than a small balancer can send.
+// Guards against waiting openings that together cause more messages than a small balancer
+// can send.
 func TestManyThatWaitAskLittle(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 7, now-100*time.Millisecond)
@@ -87,14 +89,15 @@
 		b.Tick(now)
 	}
 	if most := 50 + 7*int(time.Second/busyFor); asked > most {
-		t.Errorf("asked %d times in a second, want at most %d", asked, most)
+		t.Errorf("%d openings sent in a second, want at most %d", asked, most)
 	}
 	if asked < 100 {
-		t.Errorf("asked %d times only; room was found late", asked)
+		t.Errorf("only %d openings sent; free slots were found late", asked)
 	}
 }
 
-// Guards against openings that lose their time at a dead agent while busy ones get room.
+// Guards against openings that time out at a dead agent while slots become free at busy
+// ones.
 func TestBusyAgentsGoBeforeDoubtedOnes(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 4, now-100*time.Millisecond)
@@ -102,23 +105,24 @@
 	b.HandleCaller(plainPacket(plainOpening, 1), now)
 	for i := 0; i < len(s.to); i++ {
 		if s.to[i] == 4 {
-			t.Fatalf("asked %v; agent 4 is doubted", s.to)
+			t.Fatalf("opening sent to %v; agent 4 is doubted", s.to)
 		}
 		b.refused(s.to[i], Message{Opening: 1, Reason: ReasonBusy, Load: 20, Requests: 10}, now)
 	}
 	if len(s.to) != 3 {
-		t.Errorf("asked %v, want the three that are heard", s.to)
+		t.Errorf("opening sent to %v, want the three reachable agents", s.to)
 	}
 	for ip := IP(1); ip <= 3; ip++ {
-		b.agents.byIP[ip].heard = now - 2*time.Second // none of them is heard any more
+		b.agents.byIP[ip].heard = now - 2*time.Second // all agents are silent now
 	}
 	b.Tick(now + roomAfter)
 	if len(s.to) != 4 {
-		t.Errorf("asked %v, want one of the doubted when there is no other", s.to)
+		t.Errorf("opening sent to %v, want a doubted agent if there is no other", s.to)
 	}
 }
 
-// Guards against openings that can't be in time and go before those that can.
+// Guards against openings that will miss their target latency anyway and delay others that
+// can still meet it.
 func TestLateOpeningsYield(t *testing.T) {
 	now := 10 * time.Second
 	for name, x := range map[string]struct {
@@ -126,29 +130,29 @@
 		aim      time.Duration
 		waited   time.Duration
 		priority Priority
-		belowAt  float64 // requests a slot up to which an agent takes it
+		belowAt  float64 // requests per slot below which an agent accepts it
 	}{
-		"can be in time":           {false, 150 * time.Millisecond, 50 * time.Millisecond, PriorityRepeated, fullAt},
-		"urgent, can be in time":   {true, 150 * time.Millisecond, 50 * time.Millisecond, PriorityUrgent, fullAtUrgent},
-		"will be late":             {false, 150 * time.Millisecond, 100 * time.Millisecond, PriorityLate, lateAt},
-		"urgent, will be late":     {true, 150 * time.Millisecond, 100 * time.Millisecond, PriorityLateUrgent, lateAtUrgent},
-		"a caller's second copy":   {false, 150 * time.Millisecond, copyAge(1), PriorityLate, lateAt},
-		"a route without an aim":   {false, 0, time.Second, PriorityRepeated, fullAt},
-		"a route with a long aim":  {false, 500 * time.Millisecond, copyAge(1), PriorityRepeated, fullAt},
-		"its caller's third copy":  {false, 500 * time.Millisecond, copyAge(2), PriorityLate, lateAt},
-		"urgent, its second copy":  {true, 200 * time.Millisecond, copyAge(1), PriorityLateUrgent, lateAtUrgent},
-		"urgent, without any wait": {true, 200 * time.Millisecond, 0, PriorityUrgent, fullAtUrgent},
+		"can be in time":               {false, 150 * time.Millisecond, 50 * time.Millisecond, PriorityRepeated, fullAt},
+		"urgent, can be in time":       {true, 150 * time.Millisecond, 50 * time.Millisecond, PriorityUrgent, fullAtUrgent},
+		"will be late":                 {false, 150 * time.Millisecond, 100 * time.Millisecond, PriorityLate, lateAt},
+		"urgent, will be late":         {true, 150 * time.Millisecond, 100 * time.Millisecond, PriorityLateUrgent, lateAtUrgent},
+		"first retransmission":         {false, 150 * time.Millisecond, copyAge(1), PriorityLate, lateAt},
+		"route without target latency": {false, 0, time.Second, PriorityRepeated, fullAt},
+		"route with long target":       {false, 500 * time.Millisecond, copyAge(1), PriorityRepeated, fullAt},
+		"second retransmission":        {false, 500 * time.Millisecond, copyAge(2), PriorityLate, lateAt},
+		"urgent, first retransmission": {true, 200 * time.Millisecond, copyAge(1), PriorityLateUrgent, lateAtUrgent},
+		"urgent, has not waited":       {true, 200 * time.Millisecond, 0, PriorityUrgent, fullAtUrgent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := opening{urgent: x.urgent, aim: x.aim, started: now - x.waited}
 			if p := o.repeated(now); p != x.priority || p.limit() != x.belowAt {
-				t.Errorf("priority %d, limit %v", p, p.limit())
+				t.Errorf("priority %d with limit %v", p, p.limit())
 			}
 		})
 	}
 }
 
-// Guards against deadlines that are looked at after later ones.
+// Guards against deadlines that are handled after later ones.
 func TestDeadlinesComeInOrder(t *testing.T) {
 	x := newOpenings()
 	var ids []uint32
@@ -159,24 +163,24 @@
 	}
 	for _, want := range []int{4, 2, 0, 3, 1} {
 		if x.due() == 0 || x.queue[0].id != ids[want] {
-			t.Fatalf("queue %v", x.queue)
+			t.Fatalf("queue %v is not in order of time", x.queue)
 		}
 		x.get(ids[want]).deadline = 0
 	}
 }
 
-// Guards against openings that are given to one agent after another, as a balancer that is
-// behind with its work does not read their answers in time.
+// Guards against an overloaded balancer that reads answers late and therefore sends each
+// opening to one agent after another.
 func TestAnswersHaveTheTimeThatTheyTake(t *testing.T) {
 	for name, x := range map[string]struct {
 		took        []time.Duration
 		least, most time.Duration
 	}{
-		"none yet":   {nil, answerWithin, answerWithin},
-		"fast":       {[]time.Duration{3 * time.Millisecond, 5 * time.Millisecond, 4 * time.Millisecond}, answerWithin, answerWithin},
-		"slow":       {[]time.Duration{80 * time.Millisecond, 90 * time.Millisecond, 80 * time.Millisecond, 100 * time.Millisecond}, 100 * time.Millisecond, answerMost},
-		"beyond use": {[]time.Duration{time.Second, time.Second}, answerMost, answerMost},
-		"fast again": {append([]time.Duration{200 * time.Millisecond}, make([]time.Duration, 40)...), answerWithin, answerWithin},
+		"no answer yet":   {nil, answerWithin, answerWithin},
+		"fast":            {[]time.Duration{3 * time.Millisecond, 5 * time.Millisecond, 4 * time.Millisecond}, answerWithin, answerWithin},
+		"slow":            {[]time.Duration{80 * time.Millisecond, 90 * time.Millisecond, 80 * time.Millisecond, 100 * time.Millisecond}, 100 * time.Millisecond, answerMost},
+		"very slow":       {[]time.Duration{time.Second, time.Second}, answerMost, answerMost},
+		"fast after slow": {append([]time.Duration{200 * time.Millisecond}, make([]time.Duration, 40)...), answerWithin, answerWithin},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var a answerTimes
@@ -184,7 +188,7 @@
 				a.add(d)
 			}
 			if l := a.limit(); l < x.least || l > x.most {
-				t.Errorf("an agent has %v", l)
+				t.Errorf("timeout is %v", l)
 			}
 		})
 	}
--- a/datagram/order.go
+++ b/datagram/order.go
@@ -2,12 +2,13 @@
 
 import "pomeloway.example/pomeloway/fleet"
 
-// rank is the agent's place among those that a lookup asks for the flow with the hash,
-// the highest first: as openings are placed, but those in availability zones that are
-// out before the others.
+// rank returns the agent's rank in a lookup of the flow with the given hash. Agents are
+// asked in descending order of rank: the order in which openings prefer them, but agents
+// in evacuated availability zones come first.
 //
-// An agent in a zone that is out drops what it holds. Were it asked after others, agents
-// that have just started would put a flow that it holds before foreign upstreams.
+// An agent in an evacuated zone drops packets of the flows that it holds. If it were asked
+// after the others, agents that have just started would first forward packets of its flows
+// to upstreams that do not hold them.
 func (x *agents) rank(hash uint64, a *agentView) uint64 {
 	r := fleet.Mix(hash, a.key) >> 1
 	if x.out[a.status.Zone] {
--- a/datagram/packet.go
+++ b/datagram/packet.go
@@ -1,8 +1,10 @@
-// Package datagram has the decisions of datagram services: flows whose bytes
-// only caller and upstream read and write. A Balancer spreads callers' datagrams
-// over agents, an Agent hands them to its upstream and the upstream's to callers.
-// Both are pure: a datagram, the view and the time go in, datagrams come out
-// through a small interface. They are not safe for concurrent use; one goroutine
+// Package datagram makes the decisions of datagram services: services whose traffic is
+// flows of packets that only the caller and the upstream can read and write. A Balancer
+// distributes the packets of callers over agents. An Agent forwards them to its upstream,
+// and the upstream's packets to the callers.
+//
+// Both are free of I/O: they take a packet and the time, update their state, and send
+// packets through a small interface. They are not safe for concurrent use; one goroutine
 // owns each.
 package datagram
 
@@ -16,7 +18,7 @@
 // IP is an IPv4 address.
 type IP uint32
 
-// IPOf returns the IPv4 address a, or 0 for any other.
+// IPOf converts an IPv4 address. It returns 0 for any other address.
 func IPOf(a netip.Addr) IP {
 	a = a.Unmap()
 	if !a.Is4() {
@@ -26,14 +28,14 @@
 	return IP(binary.BigEndian.Uint32(b[:]))
 }
 
-// Addr returns the address in the form of the standard library.
+// Addr converts the address to a netip.Addr.
 func (i IP) Addr() netip.Addr {
 	var b [4]byte
 	binary.BigEndian.PutUint32(b[:], uint32(i))
 	return netip.AddrFrom4(b)
 }
 
-// String returns the dotted form.
+// String returns the address in dotted decimal form.
 func (i IP) String() string { return i.Addr().String() }
 
 // Endpoint is an IPv4 address and a port.
@@ -42,16 +44,16 @@
 	Port uint16
 }
 
-// EndpointOf returns a as an Endpoint.
+// EndpointOf converts a netip.AddrPort.
 func EndpointOf(a netip.AddrPort) Endpoint { return Endpoint{IPOf(a.Addr()), a.Port()} }
 
-// AddrPort returns the endpoint in the form of the standard library.
+// AddrPort converts the endpoint to a netip.AddrPort.
 func (e Endpoint) AddrPort() netip.AddrPort { return netip.AddrPortFrom(e.IP.Addr(), e.Port) }
 
-// String returns IP:PORT.
+// String returns the endpoint as IP:PORT.
 func (e Endpoint) String() string { return e.AddrPort().String() }
 
-// Flow names a flow by its caller and the service address that it called.
+// Flow identifies a flow by the caller's endpoint and the service endpoint that it called.
 type Flow struct {
 	Caller, Address Endpoint
 }
@@ -75,45 +77,48 @@
 	}, true
 }
 
-// hash is the same in every process, as all must rank agents alike.
+// hash returns the same value in every process, so that all processes rank agents and
+// homes alike.
 func (f Flow) hash() uint64 {
 	a := uint64(f.Caller.IP)<<16 | uint64(f.Caller.Port)
 	b := uint64(f.Address.IP)<<16 | uint64(f.Address.Port)
 	return fleet.Mix(fleet.Mix(a, 0), b)
 }
 
-// Packet is what the system reads of a packet of a flow.
+// Packet holds the fields of a packet that balancers and agents read.
 type Packet struct {
 	Flow Flow
-	// FromUpstream: the packet goes from the upstream to the caller.
+	// FromUpstream is set if the packet goes from the upstream to the caller.
 	FromUpstream bool
-	Open         bool // asks for a new flow, or accepts it
+	Open         bool // requests a new flow, or accepts it
 	Ack          bool
 	Fin          bool
 	Reset        bool
-	// Bounced: the upstream does not hold the flow, or can't take it.
+	// Bounced is set in a packet that the upstream returned because it does not hold the
+	// flow or can't accept it.
 	Bounced bool
 	Seq     uint32
-	// Number is what is acknowledged; in a caller's opening, which copy it is.
+	// AckNumber is the acknowledged sequence number. In an opening it is the number of
+	// retransmissions before this copy.
 	Number uint32
-	// Scratch is left as it is by upstreams, and is for the system to write.
+	// Scratch is for the use of balancers and agents. Upstreams return it unchanged.
 	Scratch uint32
-	// Length is that of the data.
+	// Length is the number of data bytes.
 	Length int
 }
 
-// Format reads and writes packets of flows in the form of the platform.
+// Format parses and writes packets in the platform's format.
 type Format interface {
-	// Parse reads a caller's packet. It is false for what is no packet.
+	// Parse parses a packet of a caller. It returns false if b is not a valid packet.
 	Parse(b []byte) (Packet, bool)
-	// ParseOutbound reads a packet of an upstream: its own, or one it bounced.
+	// ParseOutbound parses a packet from an upstream: its own, or one that it bounced.
 	ParseOutbound(b []byte) (Packet, bool)
-	// SetScratch writes the scratch field.
+	// SetScratch sets the scratch field.
 	SetScratch(b []byte, v uint32)
-	// ClearBounced makes a bounced packet one for another upstream.
+	// ClearBounced clears the bounced mark, so that the packet can go to another upstream.
 	ClearBounced(b []byte)
-	// PutReset writes a reset of the flow to its caller and returns its length.
+	// PutReset writes a packet that resets the flow for its caller, and returns its length.
 	PutReset(b []byte, f Flow, seq uint32) int
-	// RequestID returns the id of the request that begins in the packet.
+	// RequestID returns the ID of the request that begins in the packet.
 	RequestID(b []byte) string
 }
--- a/datagram/priority.go
+++ b/datagram/priority.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// Priority orders openings for an upstream that has much to do. An agent declines those
-// of each priority from another load on; who is declined everywhere waits at its
-// balancer.
+// Priority selects the load up to which a busy agent accepts an opening. An opening that
+// every agent declines waits at its balancer.
 type Priority uint8
 
 // Priorities.
 const (
-	// PriorityFirst is of an opening that may still find an idle upstream.
+	// PriorityFirst is for the first attempt, while some upstream may still be idle.
 	PriorityFirst Priority = iota
-	// PriorityRepeated: every agent was busy.
+	// PriorityRepeated is for an opening that every agent declined as busy.
 	PriorityRepeated
-	// PriorityUrgent: and its route goes before others of the service.
+	// PriorityUrgent is PriorityRepeated on an urgent route, which takes precedence over
+	// other routes of the service.
 	PriorityUrgent
-	// PriorityLate, PriorityLateUrgent: it has waited too long to be in time.
+	// PriorityLate and PriorityLateUrgent are for openings that have waited too long for
+	// their request to meet its target latency.
 	PriorityLate
 	PriorityLateUrgent
 	priorityEnd
 )
 
 const (
-	// busyAt is the requests for each slot from which on an opening is better placed
-	// elsewhere: its request would wait about as long as one is worked on.
+	// busyAt is the load, in requests per slot, at which an opening should go to another
+	// agent: its request would wait about as long as one request takes.
 	busyAt = 2
-	// fullAt is the requests for each slot from which on an opening is not taken even
-	// if all are busy, fullAtUrgent the same for urgent routes, so that these wait for
-	// nobody but each other.
+	// fullAt is the load at which an opening is declined even if all agents are busy.
+	// fullAtUrgent is the same for urgent routes, so that these wait only for each other.
 	fullAt       = 2
 	fullAtUrgent = 3
-	// lateAt and lateAtUrgent are the same for openings that will be late anyway. They
-	// are served with what is left over by those that can still be in time: when
-	// everybody returns at once, a queue in the order of arrival makes all of them
-	// late, for as long as the queue lasts.
+	// lateAt and lateAtUrgent are the same for openings that will be late anyway. They only
+	// get the capacity that openings still in time leave over. When all callers return at
+	// once, a queue in order of arrival would make all of them late for as long as the
+	// queue lasts.
 	lateAt       = 1
 	lateAtUrgent = 1.5
 )
 
-// limit returns the requests for each slot from which on an opening is declined.
+// limit returns the load, in requests per slot, at which an opening is declined.
 func (p Priority) limit() float64 {
 	switch p {
 	case PriorityFirst:
@@ -53,7 +53,7 @@
 	return fullAtUrgent
 }
 
-// repeated returns the priority of an opening that every agent declined.
+// retryPriority returns the priority of an opening that every agent declined.
 func (o *opening) repeated(now time.Duration) Priority {
 	switch {
 	case o.late(now) && o.urgent:
@@ -66,9 +66,9 @@
 	return PriorityRepeated
 }
 
-// late reports whether the opening has waited for so long that its request can't be
-// answered within its aim: an upstream with two requests a slot takes twice a
-// request's work, which is nearly half of the aims of today's routes.
+// isLate reports whether the opening has waited so long that its request can't be answered
+// within its target latency. An upstream with two requests per slot needs twice the time of
+// a request, which is nearly half of the target latency of today's routes.
 func (o *opening) late(now time.Duration) bool {
 	return o.aim > 0 && now-o.started > o.aim/2
 }
--- a/datagram/table.go
+++ b/datagram/table.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// table keeps entries by flow and forgets those that were not used for a while.
+// table keeps entries by flow and drops those that were not used for a while.
 //
-// Two maps take turns: what is used moves to the young one, and when the turn
-// comes the old one is dropped whole. A lookup costs one map access, seldom two,
-// and forgetting costs nothing per entry. Given up: an exact age; an entry lives
-// between one and two turns.
+// It has two generations of entries. An entry that is used moves to the young generation.
+// At every rotation the old generation is dropped and the young one becomes old. A lookup
+// costs one map access, rarely two, and dropping costs nothing per entry. The drawback is
+// that ages are not exact: an entry lives between one and two rotation intervals after its
+// last use.
 type table[V any] struct {
 	turn       time.Duration
 	most       int
@@ -46,7 +47,7 @@
 
 func (t *table[V]) len() int { return len(t.young) + len(t.old) }
 
-// all returns the entries.
+// all iterates over the entries.
 func (t *table[V]) all() iter.Seq2[Flow, V] {
 	return func(yield func(Flow, V) bool) {
 		for _, m := range []map[Flow]V{t.young, t.old} {
@@ -59,8 +60,8 @@
 	}
 }
 
-// tick drops what was not used for a turn, or the older half of a full table,
-// and returns what it dropped.
+// rotate drops the old generation if the interval is over or the young generation has
+// filled half of the capacity, and returns what it dropped.
 func (t *table[V]) tick(now time.Duration) map[Flow]V {
 	if now-t.turned < t.turn && len(t.young) < t.most/2 {
 		return nil
--- a/datagram/upstream.go
+++ b/datagram/upstream.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Announcement is what an upstream says of itself.
+// Announcement is the status that an upstream reports to its agent.
 type Announcement struct {
 	ID       string
 	Service  ServiceKey
@@ -10,16 +10,16 @@
 	// Cold is how much longer the upstream is in cold start.
 	Cold  time.Duration
 	Slots int
-	// Born is the start of the upstream's life in Unix milliseconds by its VM's
-	// clock; it tells lives apart.
+	// Born is the start time of this run of the upstream, in Unix milliseconds by its VM's
+	// clock. It identifies the run.
 	Born int64
-	// Age is how long ago that was by the VM's clock; 0 if it is not known.
+	// Age is the time since Born by the VM's clock. 0 means unknown.
 	Age time.Duration
-	// Sequence grows with each announcement of one life.
+	// Sequence increases with every announcement of a run.
 	Sequence int64
 }
 
-// upstream is what an agent knows of its upstream.
+// upstream is what an agent knows about its upstream.
 type upstream struct {
 	state    UpstreamState
 	id       string
@@ -27,33 +27,34 @@
 	sequence int64
 	slots    int
 	coldTill time.Duration
-	// announced is when it was heard of last.
+	// announced is when the last announcement arrived.
 	announced time.Duration
-	// gave is when an opening was given that no sign of life followed; 0: none.
+	// unansweredSince is when the first opening was forwarded since the last packet from
+	// the upstream. 0 means none.
 	gave time.Duration
-	// sign is when a packet of it was seen last, and mute says that a caller repeated
-	// itself since.
+	// lastPacket is when the last packet from the upstream arrived. callerRepeated is set
+	// if a caller has retransmitted data since then and got no answer.
 	sign time.Duration
 	mute bool
-	// answers: a packet of it was seen, announced or not.
+	// hasSent is set once any packet from the upstream has arrived, announced or not.
 	answers bool
-	// listens: something accepted a connection at its address.
+	// listens is set if something accepted a connection at its address.
 	listens bool
-	// complete: the agent knows every flow of this life.
+	// allFlowsKnown is set if the agent knows every flow of this run of the upstream.
 	complete bool
 	bucket   bucket
 }
 
-// silentUpstreamAfter is how long an opening waits for any packet of the
-// upstream before it is held for silent, many times a handshake.
+// upstreamSilenceTimeout is how long an opening may wait for any packet of the upstream
+// before the upstream is considered silent. It is many times a handshake.
 const silentUpstreamAfter = 50 * time.Millisecond
 
-// accept takes in an announcement; fresh is false for one that is late or
-// repeated, and reborn true for one of another life.
+// apply applies an announcement. It returns fresh as false if the announcement is late or
+// repeated, and reborn as true if it is of another run of the upstream.
 //
-// A delayed heartbeat would undo the one that followed it: a draining upstream
-// would get flows again. It shows as a sequence not above the last of the same
-// life, or as an older life.
+// A delayed heartbeat must not undo the one that followed it: a draining upstream would get
+// flows again. It has a sequence not above the last one of the same run, or belongs to an
+// earlier run.
 func (u *upstream) accept(a *Announcement, now time.Duration) (fresh, reborn bool) {
 	switch {
 	case a.Born < u.born, a.Born == u.born && a.Sequence <= u.sequence && u.state != UpstreamUnknown:
@@ -63,13 +64,13 @@
 	if reborn {
 		*u = upstream{}
 	}
-	// Flows come through the agent alone, and none before an announcement.
+	// Flows come through the agent only, and none before the first announcement.
 	u.complete = u.complete || reborn || a.Sequence == 1 || a.bornUnder(now)
 	u.announced = now
 	u.id, u.born, u.sequence, u.slots = a.ID, a.Born, a.Sequence, a.Slots
 	switch {
 	case u.state == UpstreamDraining, u.state == UpstreamGone:
-		// What drains in one life does not come back.
+		// An upstream that drains or is gone stays so for the rest of its run.
 	case a.Draining:
 		u.state = UpstreamDraining
 	default:
@@ -81,41 +82,42 @@
 	return true, reborn
 }
 
-// bornUnder reports whether the upstream started when no earlier run of the agent,
-// which has been up for so long, could have given it flows.
+// startedDuring reports whether the upstream started so late that no earlier run of the
+// agent, which has been up for the given time, could have forwarded flows to it.
 //
-// After a loss of power upstreams are often up before their agents, which then miss their
-// first announcement. Such an agent knows all flows all the same, and has to say so, or
-// lookups of lost flows would wait for it.
+// After a power failure upstreams often start before their agents, which then miss the first
+// announcement. Such an agent knows all flows nevertheless and has to report so, or lookups
+// of lost flows would wait for it.
 func (a *Announcement) bornUnder(up time.Duration) bool {
 	return a.Age > 0 && a.Age < up+restartLeast
 }
 
-// restartLeast is less than a killed process takes to be started again. The VM's clock may
-// have jumped back since the upstream started, which makes its age small or negative; one
-// that is just so much too small can only mislead within seconds of both a jump and a
-// restart of upstream and agent.
+// minRestartTime is less than the time that a killed process takes to restart. The age of an
+// upstream is wrong if its VM's clock has jumped back since it started: small or negative.
+// An age that is positive and too small misleads only if the clock jumps and both upstream
+// and agent restart within seconds.
 const restartLeast = 200 * time.Millisecond
 
-// silent reports whether the upstream has left an opening unanswered.
+// isSilent reports whether the upstream has left an opening unanswered.
 func (u *upstream) silent(now time.Duration) bool {
 	return u.gave != 0 && now-u.gave > silentUpstreamAfter
 }
 
-// bucket admits openings at a rate, over any second at most half as many again.
+// tokenBucket is a rate limiter. In any second it admits at most one and a half times the
+// rate.
 type bucket struct {
 	tokens float64
 	at     time.Duration
 	filled bool
 }
 
-// fill gives the bucket half a second's share.
+// fill fills the bucket with the tokens of half a second.
 func (b *bucket) fill(rate float64) { b.tokens, b.filled = rate/2, true }
 
-// take reports whether the opening may go at the rate in a second.
+// take reports whether one more opening is within the rate per second, and takes its token.
 //
-// A cold upstream that gets more than it bears falls over. The bound is on any
-// second, so the burst is held to half a second's share.
+// A cold upstream fails if it gets more than it can handle. Its limit holds for any second,
+// so the burst is at most the tokens of half a second.
 func (b *bucket) take(rate float64, now time.Duration) bool {
 	burst := max(1, rate/2)
 	if !b.filled {
--- a/datagram/upstream_test.go
+++ b/datagram/upstream_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Guards against openings at an upstream that leaves, by an announcement that comes late.
+// Guards against a late announcement that makes a draining upstream ready again.
 func TestLateAnnouncementsChangeNothing(t *testing.T) {
 	for name, x := range map[string]struct {
 		said  []Announcement
 		state UpstreamState
 		born  int64
 	}{
-		"late ready":          {[]Announcement{{Born: 5, Sequence: 3}, {Born: 5, Sequence: 5, Draining: true}, {Born: 5, Sequence: 4}}, UpstreamDraining, 5},
-		"ready after drain":   {[]Announcement{{Born: 5, Sequence: 3, Draining: true}, {Born: 5, Sequence: 4}}, UpstreamDraining, 5},
-		"older life":          {[]Announcement{{Born: 9, Sequence: 1}, {Born: 5, Sequence: 77, Draining: true}}, UpstreamReady, 9},
-		"next life":           {[]Announcement{{Born: 5, Sequence: 30, Draining: true}, {Born: 9, Sequence: 1}}, UpstreamReady, 9},
-		"repeated":            {[]Announcement{{Born: 5, Sequence: 3}, {Born: 5, Sequence: 3, Draining: true}}, UpstreamReady, 5},
-		"drains at its birth": {[]Announcement{{Born: 5, Sequence: 1, Draining: true}}, UpstreamDraining, 5},
+		"late ready":            {[]Announcement{{Born: 5, Sequence: 3}, {Born: 5, Sequence: 5, Draining: true}, {Born: 5, Sequence: 4}}, UpstreamDraining, 5},
+		"ready after drain":     {[]Announcement{{Born: 5, Sequence: 3, Draining: true}, {Born: 5, Sequence: 4}}, UpstreamDraining, 5},
+		"earlier run":           {[]Announcement{{Born: 9, Sequence: 1}, {Born: 5, Sequence: 77, Draining: true}}, UpstreamReady, 9},
+		"next run":              {[]Announcement{{Born: 5, Sequence: 30, Draining: true}, {Born: 9, Sequence: 1}}, UpstreamReady, 9},
+		"repeated":              {[]Announcement{{Born: 5, Sequence: 3}, {Born: 5, Sequence: 3, Draining: true}}, UpstreamReady, 5},
+		"drains from the start": {[]Announcement{{Born: 5, Sequence: 1, Draining: true}}, UpstreamDraining, 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var u upstream
@@ -25,25 +25,25 @@
 				u.accept(&x.said[i], time.Second)
 			}
 			if u.state != x.state || u.born != x.born {
-				t.Errorf("state %v of life %d", u.state, u.born)
+				t.Errorf("state %v of run %d", u.state, u.born)
 			}
 		})
 	}
 }
 
-// Guards against the denial of flows that live by an agent that was restarted.
+// Guards against denials of live flows by an agent that restarted after its upstream.
 func TestOnlyAnAgentOfTheWholeLifeKnowsAllFlows(t *testing.T) {
 	for name, x := range map[string]struct {
 		said []Announcement
 		want bool
 	}{
-		"first heartbeat":        {[]Announcement{{Born: 5, Sequence: 1}}, true},
-		"agent was restarted":    {[]Announcement{{Born: 5, Sequence: 8}}, false},
-		"next life, late heard":  {[]Announcement{{Born: 5, Sequence: 8}, {Born: 9, Sequence: 3}}, true},
-		"started with the agent": {[]Announcement{{Born: 5, Sequence: 3, Age: 150 * time.Millisecond}}, true},
-		"fed by an earlier run":  {[]Announcement{{Born: 5, Sequence: 3, Age: 1500 * time.Millisecond}}, false},
-		"clock went back":        {[]Announcement{{Born: 5, Sequence: 3, Age: -time.Second}}, false},
-		"none":                   {nil, false},
+		"first heartbeat":          {[]Announcement{{Born: 5, Sequence: 1}}, true},
+		"agent restarted":          {[]Announcement{{Born: 5, Sequence: 8}}, false},
+		"next run, announced late": {[]Announcement{{Born: 5, Sequence: 8}, {Born: 9, Sequence: 3}}, true},
+		"started with the agent":   {[]Announcement{{Born: 5, Sequence: 3, Age: 150 * time.Millisecond}}, true},
+		"started before the agent": {[]Announcement{{Born: 5, Sequence: 3, Age: 1500 * time.Millisecond}}, false},
+		"clock jumped back":        {[]Announcement{{Born: 5, Sequence: 3, Age: -time.Second}}, false},
+		"no announcement":          {nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := Agent{}
@@ -51,16 +51,16 @@
 				a.upstream.accept(&x.said[i], 100*time.Millisecond)
 			}
 			if a.knowsAll(announcedWithin) != x.want {
-				t.Errorf("knows all: %t", !x.want)
+				t.Errorf("knows all flows: %t", !x.want)
 			}
 		})
 	}
 	if (&Agent{}).knowsAll(flowLife+time.Second) != true {
-		t.Error("no flow is older than the agent, and it still asks")
+		t.Error("an agent older than any flow does not know all flows")
 	}
 }
 
-// Guards against more openings at a cold upstream in any second than it bears.
+// Guards against more openings at a cold upstream in any second than its limit.
 func TestColdUpstreamGetsNoMoreThanItBears(t *testing.T) {
 	for name, rate := range map[string]float64{"slow": 2, "one": 1, "fast": 40, "less than one": 0.5} {
 		t.Run(name, func(t *testing.T) {
@@ -79,17 +79,18 @@
 					}
 				}
 				if float64(n) > 1.5*rate+1 {
-					t.Fatalf("%d in the second from %v at %v a second", n, taken[i], rate)
+					t.Fatalf("%d openings in the second from %v, at a rate of %v per second", n, taken[i], rate)
 				}
 			}
 			if got := float64(len(taken)); got < 10*rate*0.9 {
-				t.Errorf("%v in ten seconds", got)
+				t.Errorf("%v openings in ten seconds", got)
 			}
 		})
 	}
 }
 
-// Guards against late statuses of an agent's former life, and against clocks that jump.
+// Guards against late or repeated statuses of an agent that change the balancer's view: those
+// of an earlier run are recognized without comparing clocks, which may jump.
 func TestFormerLifeOfAnAgentIsNotBelieved(t *testing.T) {
 	x := newAgents()
 	hear := func(life Life, seq uint32, up, now time.Duration, s UpstreamState) {
@@ -99,10 +100,10 @@
 	hear(8, 1, 10*time.Millisecond, 12*time.Second, UpstreamDraining)
 	hear(7, 9, 3*time.Second, 12100*time.Millisecond, UpstreamReady)
 	if a := x.byIP[1]; a.status.Life != 8 || a.status.State != UpstreamDraining {
-		t.Errorf("%+v", a.status)
+		t.Errorf("status %+v, want draining in life 8", a.status)
 	}
 	hear(8, 1, 10*time.Millisecond, 12200*time.Millisecond, UpstreamReady)
 	if a := x.byIP[1]; a.status.State != UpstreamDraining {
-		t.Error("a repeated status was believed")
+		t.Error("a repeated status was accepted")
 	}
 }
