--- a/datagram/directory_test.go
+++ b/datagram/directory_test.go
@@ -147,7 +147,7 @@
 // Guards against a home that denies a flow whose entry was lost, or that it forgot in a
 // restart. The home must not be authoritative until it has received all entries again.
 func TestDirectoryBecomesWholeAgain(t *testing.T) {
-	for name, harm := range map[string]func(t *testing.T, p *testPair){
+	for name, fault := range map[string]func(t *testing.T, p *testPair){
 		"nothing lost": func(*testing.T, *testPair) {},
 		"an entry is lost": func(t *testing.T, p *testPair) {
 			p.drop = func(k Kind) bool { return k == KindEntries }
@@ -177,7 +177,7 @@
 			p := newTestPair(t)
 			p.hold(1)
 			p.pass(2 * StatusEvery)
-			harm(t, p)
+			fault(t, p)
 			p.hold(3)
 			p.pass(2 * time.Second)
 			if c := p.b.coverage(p.now); !c.ok || len(c.unsure) > 0 {
@@ -217,14 +217,14 @@
 	a := &Agent{Service: 7, Format: plain{}, Out: s, Keys: testKeys(t)}
 	a.Start()
 	now := time.Second
-	hear := func(ip IP) {
+	receive := func(ip IP) {
 		m := (&BalancerStatus{Life: Life(ip), Agents: 1}).append(make([]byte, HeaderLen))
 		h := Message{Kind: KindBalancer}
 		h.Put(m, a.Keys[0])
 		a.HandleMessage(ip, m, now)
 	}
 	for ip := IP(101); ip <= 104; ip++ {
-		hear(ip)
+		receive(ip)
 	}
 	now += homesGather
 	a.Tick(now)
@@ -233,7 +233,7 @@
 		a.flows.set(testFlow(port), f)
 		a.register(testFlow(port), f, now)
 	}
-	told := func(want homeSet) {
+	checkHomes := func(want homeSet) {
 		t.Helper()
 		if !a.homes.equal(&want) {
 			t.Fatalf("homes are chosen from %v", a.homes.ips)
@@ -246,11 +246,11 @@
 			t.Errorf("%d entries sent for 100 flows with two homes each", n)
 		}
 	}
-	told(newHomeSet([]IP{101, 102, 103, 104}))
-	hear(105)
+	checkHomes(newHomeSet([]IP{101, 102, 103, 104}))
+	receive(105)
 	now += homesGather
 	a.Tick(now)
-	told(newHomeSet([]IP{101, 102, 103, 104, 105}))
+	checkHomes(newHomeSet([]IP{101, 102, 103, 104, 105}))
 	if n := a.balancers[105].entries; n < 20 || n > 60 {
 		t.Errorf("the fifth balancer got entries of %d of 100 flows, want about 40", n)
 	}
@@ -261,7 +261,7 @@
 	}
 	a.Tick(now)
 	a.Tick(now + StatusEvery)
-	told(newHomeSet([]IP{101, 102, 103, 104}))
+	checkHomes(newHomeSet([]IP{101, 102, 103, 104}))
 	if a.balancers[101].entries == before {
 		t.Error("a remaining balancer got no entries for the flows of a removed one")
 	}
--- a/datagram/flows.go
+++ b/datagram/flows.go
@@ -12,9 +12,9 @@
 // flowState is what the agent knows about a flow at its upstream.
 type flowState struct {
 	phase    flowPhase
-	underWay bool
-	finished bool
-	born     int64
+	underWay bool   // a request is in progress
+	finished bool   // the caller or the upstream has closed or reset it
+	born     int64  // Announcement.Born of the run that holds the flow; 0 means unknown
 	accepted uint32 // sequence number of the upstream's acceptance
 	balancer IP
 	opening  uint32
--- a/datagram/lookup.go
+++ b/datagram/lookup.go
@@ -272,7 +272,7 @@
 
 // bestAgent returns the eligible agent of the flow's services with the highest rank that
 // was not asked yet. It returns nil if there is none or the round has asked enough agents.
-func (b *Balancer) bestAgent(l *lookup, now time.Duration, may func(*agentView) bool) *agentView {
+func (b *Balancer) bestAgent(l *lookup, now time.Duration, eligible func(*agentView) bool) *agentView {
 	if b.config == nil || l.left == 0 {
 		return nil
 	}
@@ -280,7 +280,7 @@
 	hash := l.flow.hash()
 	for _, s := range b.config.Routes[l.flow.Address].Shares {
 		for _, a := range b.agents.byService[s.Service] {
-			if !a.reachable(now) || slices.Contains(l.asked, a.ip) || !may(a) {
+			if !a.reachable(now) || slices.Contains(l.asked, a.ip) || !eligible(a) {
 				continue
 			}
 			if r := (ranked{a, b.agents.rank(hash, a)}); best.agent == nil || r.score > best.score {
--- a/datagram/openings.go
+++ b/datagram/openings.go
@@ -307,9 +307,9 @@
 }
 
 // refuse resets an opening that no agent was sent, or that all agents refused.
-func (b *Balancer) refuse(f Flow, seq uint32, why Reason, now time.Duration) {
+func (b *Balancer) refuse(f Flow, seq uint32, cause Reason, now time.Duration) {
 	b.Count.Resets++
-	b.Log.decide(decision{event: events.OpeningRefused, flow: f, reason: why, version: b.Configured()}, now)
+	b.Log.decide(decision{event: events.OpeningRefused, flow: f, reason: cause, version: b.Configured()}, now)
 	b.reset(f, seq)
 }
 
--- a/datagram/openings_test.go
+++ b/datagram/openings_test.go
@@ -130,7 +130,7 @@
 		aim      time.Duration
 		waited   time.Duration
 		priority Priority
-		belowAt  float64 // requests per slot below which an agent accepts it
+		maxLoad  float64 // requests per slot below which an agent accepts it
 	}{
 		"can be in time":               {false, 150 * time.Millisecond, 50 * time.Millisecond, PriorityRepeated, fullAt},
 		"urgent, can be in time":       {true, 150 * time.Millisecond, 50 * time.Millisecond, PriorityUrgent, fullAtUrgent},
@@ -145,7 +145,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := opening{urgent: x.urgent, aim: x.aim, started: now - x.waited}
-			if p := o.repeated(now); p != x.priority || p.limit() != x.belowAt {
+			if p := o.repeated(now); p != x.priority || p.limit() != x.maxLoad {
 				t.Errorf("priority %d with limit %v", p, p.limit())
 			}
 		})
--- a/datagram/upstream.go
+++ b/datagram/upstream.go
@@ -88,8 +88,8 @@
 // After a power failure upstreams often start before their agents, which then miss the first
 // announcement. Such an agent knows all flows nevertheless and has to report so, or lookups
 // of lost flows would wait for it.
-func (a *Announcement) bornUnder(up time.Duration) bool {
-	return a.Age > 0 && a.Age < up+restartLeast
+func (a *Announcement) bornUnder(uptime time.Duration) bool {
+	return a.Age > 0 && a.Age < uptime+restartLeast
 }
 
 // minRestartTime is less than the time that a killed process takes to restart. The age of an
--- a/datagram/upstream_test.go
+++ b/datagram/upstream_test.go
@@ -8,9 +8,9 @@
 // Guards against a late announcement that makes a draining upstream ready again.
 func TestLateAnnouncementsChangeNothing(t *testing.T) {
 	for name, x := range map[string]struct {
-		said  []Announcement
-		state UpstreamState
-		born  int64
+		announcements []Announcement
+		state         UpstreamState
+		born          int64
 	}{
 		"late ready":            {[]Announcement{{Born: 5, Sequence: 3}, {Born: 5, Sequence: 5, Draining: true}, {Born: 5, Sequence: 4}}, UpstreamDraining, 5},
 		"ready after drain":     {[]Announcement{{Born: 5, Sequence: 3, Draining: true}, {Born: 5, Sequence: 4}}, UpstreamDraining, 5},
@@ -21,8 +21,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var u upstream
-			for i := range x.said {
-				u.accept(&x.said[i], time.Second)
+			for i := range x.announcements {
+				u.accept(&x.announcements[i], time.Second)
 			}
 			if u.state != x.state || u.born != x.born {
 				t.Errorf("state %v of run %d", u.state, u.born)
@@ -34,8 +34,8 @@
 // Guards against denials of live flows by an agent that restarted after its upstream.
 func TestOnlyAnAgentOfTheWholeLifeKnowsAllFlows(t *testing.T) {
 	for name, x := range map[string]struct {
-		said []Announcement
-		want bool
+		announcements []Announcement
+		want          bool
 	}{
 		"first heartbeat":          {[]Announcement{{Born: 5, Sequence: 1}}, true},
 		"agent restarted":          {[]Announcement{{Born: 5, Sequence: 8}}, false},
@@ -47,8 +47,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := Agent{}
-			for i := range x.said {
-				a.upstream.accept(&x.said[i], 100*time.Millisecond)
+			for i := range x.announcements {
+				a.upstream.accept(&x.announcements[i], 100*time.Millisecond)
 			}
 			if a.knowsAll(announcedWithin) != x.want {
 				t.Errorf("knows all flows: %t", !x.want)
