--- a/datagram/directory.go
+++ b/datagram/directory.go
@@ -30,7 +30,7 @@
 type directory struct {
 	flows table[holders]
 	logs  map[IP]*entryLog
-	// droppedAt is when entries were last dropped because the table was full. 0 means never.
+	// droppedAt is when entries were last removed because the table was full. 0 means never.
 	dropped  time.Duration
 	coverage coverage
 }
--- a/datagram/flows.go
+++ b/datagram/flows.go
@@ -14,7 +14,7 @@
 	phase    flowPhase
 	underWay bool   // a request is in progress
 	finished bool   // the caller or the upstream has closed or reset it
-	born     int64  // Announcement.Born of the run that holds the flow; 0 means unknown
+	born     int64  // Announcement.Born of the upstream run that has the flow; 0 means unknown
 	accepted uint32 // sequence number of the upstream's acceptance
 	balancer IP
 	opening  uint32
@@ -52,7 +52,7 @@
 	opening  uint32
 }
 
-// handlePacket handles the packet of an established flow in m[HeaderLen:].
+// handlePacket handles a KindPacket message m, which carries data of an established flow.
 func (a *Agent) packet(from IP, h Message, m []byte, now time.Duration) {
 	p := m[HeaderLen:]
 	k, ok := a.Format.Parse(p)
@@ -236,7 +236,7 @@
 //
 // Without the reset the caller would wait until its deadline for an answer that can't
 // come. No other agent may reset the flow: only this one knows that it was open at its own
-// upstream, which has restarted and lost it.
+// upstream, which has restarted without it.
 func (a *Agent) lost(k Packet, f *flowState, now time.Duration) {
 	a.flows.remove(k.Flow)
 	if f.phase != flowOpen || f.finished || k.Reset {
@@ -350,8 +350,8 @@
 	}
 }
 
-// handleBounced handles a packet that the upstream bounced: it resets a flow that was open
-// there, and otherwise tells the balancer that sent the packet.
+// handleBounced handles a packet that the upstream returned: it resets a flow that was open
+// there, and otherwise informs the balancer that sent the packet.
 func (a *Agent) bounced(k Packet, m []byte, now time.Duration) {
 	a.Count.Bounced++
 	x := a.pending[k.Scratch%pendingMost]
--- a/datagram/homes.go
+++ b/datagram/homes.go
@@ -42,7 +42,7 @@
 // homes are the home balancers of a flow. An element is 0 if there are fewer balancers.
 type homes [homesEach]IP
 
-// homesOf returns the homes of the flow.
+// choose returns the homes for the flow.
 func (s *homeSet) of(f Flow) homes {
 	var h homes
 	var top [homesEach]uint64
--- a/datagram/upstream.go
+++ b/datagram/upstream.go
@@ -27,7 +27,7 @@
 	sequence int64
 	slots    int
 	coldTill time.Duration
-	// announced is when the last announcement arrived.
+	// announcedAt is when the last announcement arrived.
 	announced time.Duration
 	// unansweredSince is when the first opening was forwarded since the last packet from
 	// the upstream. 0 means none.
