--- a/datagram/absence.go
+++ b/datagram/absence.go
@@ -14,17 +14,17 @@
 
 const (
 	// heartbeatTimeout is two of the upstream's heartbeat intervals.
-	overdueAfter = 1540 * time.Millisecond
+	heartbeatTimeout = 1540 * time.Millisecond
 	// muteTimeout is how long an upstream must have sent nothing for a caller's
 	// retransmission to raise a suspicion. It is shorter than the time after which callers
 	// retransmit.
-	muteAfter = 100 * time.Millisecond
+	muteTimeout = 100 * time.Millisecond
 	// probeInterval is the time between probes while the suspicion lasts.
-	probeEvery = 250 * time.Millisecond
+	probeInterval = 250 * time.Millisecond
 )
 
 // mayHaveCrashed reports whether the upstream may have ended without deregistering.
-func (a *Agent) suspicious(now time.Duration) bool {
+func (a *Agent) mayHaveCrashed(now time.Duration) bool {
 	u := &a.upstream
 	switch u.state {
 	case UpstreamUnknown:
@@ -34,39 +34,39 @@
 	case UpstreamAbsent:
 		return false
 	}
-	return u.mute || u.silent(now) || now-u.announced > overdueAfter
+	return u.mute || u.silent(now) || now-u.announced > heartbeatTimeout
 }
 
 // probe starts a connection attempt to the upstream's address if a crash is suspected.
 func (a *Agent) probe(now time.Duration) {
-	if a.Probe == nil || a.probing || a.probed != 0 && now-a.probed < probeEvery || !a.suspicious(now) {
+	if a.Probe == nil || a.probing || a.lastProbe != 0 && now-a.lastProbe < probeInterval || !a.mayHaveCrashed(now) {
 		return
 	}
-	a.probing, a.probed = true, now
+	a.probing, a.lastProbe = true, now
 	a.Probe()
 }
 
 // nextProbe returns when the upstream's silence becomes a reason to probe.
-func (a *Agent) probeDue() time.Duration {
+func (a *Agent) nextProbe() time.Duration {
 	u := &a.upstream
 	switch {
 	case a.Probe == nil || a.probing || u.state == UpstreamAbsent:
 		return math.MaxInt64
 	case u.mute:
-		return a.probed + probeEvery
+		return a.lastProbe + probeInterval
 	case u.gave != 0:
-		return max(u.gave+silentUpstreamAfter+time.Millisecond, a.probed+probeEvery)
+		return max(u.gave+silentUpstreamAfter+time.Millisecond, a.lastProbe+probeInterval)
 	}
 	return math.MaxInt64
 }
 
 // ProbeResult is the result of a connection attempt to the upstream's address.
-type Probe uint8
+type ProbeResult uint8
 
 // Results of a probe.
 const (
 	// ProbeUnanswered: no answer, which proves nothing.
-	ProbeUnanswered Probe = iota
+	ProbeUnanswered ProbeResult = iota
 	// ProbeRefused: nothing listens at the address.
 	ProbeRefused
 	// ProbeAccepted: something listens at the address, as far as its VM's kernel can tell.
@@ -74,11 +74,11 @@
 )
 
 // HandleProbeResult processes the result of a probe.
-func (a *Agent) Probed(p Probe, now time.Duration) {
+func (a *Agent) HandleProbeResult(p ProbeResult, now time.Duration) {
 	a.probing = false
 	u := &a.upstream
 	u.listens = p == ProbeAccepted
-	if p != ProbeRefused || u.state == UpstreamAbsent || u.state != UpstreamUnknown && u.announced >= a.probed {
+	if p != ProbeRefused || u.state == UpstreamAbsent || u.state != UpstreamUnknown && u.announced >= a.lastProbe {
 		// An announcement that arrived after the probe began takes precedence: the
 		// connection was refused just before the upstream started to listen.
 		return
@@ -87,7 +87,7 @@
 	// The agent knows every flow of an upstream that starts at this address later.
 	u.state, u.complete, u.gave = UpstreamAbsent, true, 0
 	a.Log.upstreamChanged(u, false)
-	a.tell(now)
+	a.broadcastStatus(now)
 }
 
 // endFlows resets the flows that were opened up to the given time, because their upstream
@@ -108,4 +108,4 @@
 
 // announcementDelay is how long an upstream may take flows before its announcement arrives.
 // Its attempts are at most one second apart.
-const bornUnheard = time.Second
+const announcementDelay = time.Second
--- a/datagram/agent.go
+++ b/datagram/agent.go
@@ -45,35 +45,35 @@
 	// recorded for a later run of the agent. It must not block.
 	OnDrain func()
 
-	upstream  upstream
-	balancers map[IP]*balancerView
-	homes     homeSet
-	homesDue  time.Duration // when homes is updated; 0: not scheduled
-	homesTell time.Duration // when all balancers are sent the new set; 0: not scheduled
-	homesLast time.Duration // the time past which that is not postponed
-	former    []formerHomes
+	upstream          upstream
+	balancers         map[IP]*balancerView
+	homes             homeSet
+	homesUpdateAt     time.Duration // when homes is updated; 0: not scheduled
+	homesSendAt       time.Duration // when all balancers are sent the new set; 0: not scheduled
+	homesSendDeadline time.Duration // the time past which that is not postponed
+	previousHomes     []previousHomeSet
 	// homesSendsLeft is how many more times all balancers are sent the set.
-	homesTells int
-	zoneOut    bool
-	outSince   time.Duration
-	revision   uint64
-	version    Version
-	leaving    bool
-	flows      table[*flowState]
-	open       int
-	underWay   int
-	coming     coming
-	counted    time.Duration
-	probing    bool
-	probed     time.Duration // when the last probe began; 0: never
-	recalled   recall
-	pending    [pendingMost]pending
-	last       uint32
-	sequence   uint32
-	status     time.Duration
-	agents     int    // agents in the fleet, as reported by balancers
-	near       uint64 // digest of the near balancers, which receive statuses often
-	scratch    [2048]byte
+	homesSendsLeft   int
+	zoneOut          bool
+	zoneOutSince     time.Duration
+	revision         uint64
+	version          Version
+	leaving          bool
+	flows            table[*flowState]
+	openFlows        int
+	underWay         int
+	expectedRequests coming
+	lastRecount      time.Duration
+	probing          bool
+	lastProbe        time.Duration // when the last probe began; 0: never
+	recalled         recall
+	pending          [maxPending]pending
+	lastScratch      uint32
+	sequence         uint32
+	lastStatus       time.Duration
+	agentCount       int    // agents in the fleet, as reported by balancers
+	nearDigest       uint64 // digest of the near balancers, which receive statuses often
+	scratch          [2048]byte
 }
 
 // AgentCounts counts an agent's decisions.
@@ -84,69 +84,69 @@
 }
 
 type balancerView struct {
-	life        Life
-	heard, told time.Duration
+	life               Life
+	lastSeen, lastSent time.Duration
 	// expectedInterval is the time within which the balancer expects the next status.
-	promised time.Duration
-	agents   int // how many agents the balancer knows
+	expectedInterval time.Duration
+	agentCount       int // how many agents the balancer knows
 	// entries is the number of flows sent to it in this epoch.
 	epoch, entries uint32
 }
 
 const (
 	// maxPending exceeds the number of packets that an upstream can hold unread.
-	pendingMost = 4096
+	maxPending = 4096
 	// flowTableTurn exceeds the idle timeout of flows.
-	flowsTurn = 30 * time.Second
+	flowTableTurn = 30 * time.Second
 	// maxFlows bounds an agent's memory.
-	flowsMost = 100_000
+	maxFlows = 100_000
 	// maxFlowLifetime exceeds the longest lifetime of a flow.
-	flowLife = 65 * time.Second
+	maxFlowLifetime = 65 * time.Second
 	// recountInterval bounds how long a wrong count lasts.
-	recountEvery = time.Second
+	recountInterval = time.Second
 	// maxRequestDuration exceeds the longest deadline of a request that takes a slot; the
 	// caller of an older request has given up.
-	requestLife = 10 * time.Second
+	maxRequestDuration = 10 * time.Second
 	// defaultEvacuation applies where the settings have no evacuation time.
-	evacuationUsual = 5 * time.Second
+	defaultEvacuation = 5 * time.Second
 	// cutStart and cutEnd delimit, as shares of the evacuation time, the period in which
 	// the flows of an availability zone that is out of service are cut, each at its own
 	// time. Openings are refused at once. Until its flow is cut, a caller can finish what
 	// it has begun. The remaining flows lose one request each, and spreading the cuts
 	// avoids losing all of these at the same moment. The rest of the evacuation time covers
 	// the delay until the agent learns of the evacuation.
-	cutFrom = 0.6
-	cutTill = 0.96
+	cutStart = 0.6
+	cutEnd   = 0.96
 )
 
 // Start initializes the agent. Its exported fields must be set before.
 func (a *Agent) Start() {
 	a.balancers = map[IP]*balancerView{}
-	a.flows = newTable[*flowState](flowsTurn, flowsMost)
+	a.flows = newTable[*flowState](flowTableTurn, maxFlows)
 }
 
 // AddBalancer adds a balancer unless it is already known, and sends it the agent's status.
-func (a *Agent) Meet(ip IP, now time.Duration) {
+func (a *Agent) AddBalancer(ip IP, now time.Duration) {
 	if _, known := a.balancers[ip]; known || ip == 0 {
 		return
 	}
-	a.balancers[ip] = &balancerView{heard: now}
-	a.greet(ip, now)
+	a.balancers[ip] = &balancerView{lastSeen: now}
+	a.sendInitialStatus(ip, now)
 }
 
 // sendInitialStatus sends the status to a balancer that does not know the agent yet. It
 // announces a next status within initialStatusInterval; that one carries the regular
 // interval.
-func (a *Agent) greet(ip IP, now time.Duration) {
+func (a *Agent) sendInitialStatus(ip IP, now time.Duration) {
 	b := a.balancers[ip]
-	b.told, b.promised = now, LargeEvery
-	a.Out.ToProcess(ip, a.statusMessage(b, now, greetEvery, true))
+	b.lastSent, b.expectedInterval = now, LargeFleetInterval
+	a.Out.ToProcess(ip, a.statusMessage(b, now, initialStatusInterval, true))
 }
 
 // HandleAnnouncement processes an announcement of the upstream and reports whether it may
 // be acknowledged. Once a draining upstream has the acknowledgement, it receives no further
 // opening.
-func (a *Agent) Announce(n *Announcement, now time.Duration) bool {
+func (a *Agent) HandleAnnouncement(n *Announcement, now time.Duration) bool {
 	if n.Service != a.Service {
 		a.Count.BadAnnouncements++
 		return false
@@ -157,11 +157,11 @@
 		return true
 	}
 	if reborn {
-		a.endFlows(now-bornUnheard, now)
+		a.endFlows(now-announcementDelay, now)
 	}
 	if a.upstream.state != previous || reborn {
 		a.Log.upstreamChanged(&a.upstream, reborn)
-		a.tell(now)
+		a.broadcastStatus(now)
 	}
 	if a.upstream.state == UpstreamDraining && previous != UpstreamDraining && a.OnDrain != nil {
 		a.OnDrain()
@@ -176,17 +176,17 @@
 	}
 	a.upstream.state = UpstreamGone
 	a.Log.upstreamChanged(&a.upstream, false)
-	a.tell(now)
+	a.broadcastStatus(now)
 }
 
 // Leave announces that the agent is about to stop.
 func (a *Agent) Leave(now time.Duration) {
 	a.leaving = true
-	a.tell(now)
+	a.broadcastStatus(now)
 }
 
 // UpstreamState returns the last known state of the upstream.
-func (a *Agent) State() UpstreamState { return a.upstream.state }
+func (a *Agent) UpstreamState() UpstreamState { return a.upstream.state }
 
 // HandleMessage processes a message from a balancer.
 func (a *Agent) HandleMessage(from IP, m []byte, now time.Duration) {
@@ -202,38 +202,38 @@
 	case KindPacket:
 		a.packet(from, h, m, now)
 	case KindBalancer:
-		a.hearBalancer(from, p, now)
+		a.handleBalancerStatus(from, p, now)
 	case KindResend:
-		a.Meet(from, now)
-		a.enterAgain(from)
-		a.greet(from, now)
+		a.AddBalancer(from, now)
+		a.resendEntries(from)
+		a.sendInitialStatus(from, now)
 	}
 }
 
-func (a *Agent) hearBalancer(from IP, p []byte, now time.Duration) {
+func (a *Agent) handleBalancerStatus(from IP, p []byte, now time.Duration) {
 	var s BalancerStatus
 	if !s.decode(p) {
 		a.Count.BadMessages++
 		return
 	}
-	a.Meet(from, now)
+	a.AddBalancer(from, now)
 	b := a.balancers[from]
-	if b.heard = now; b.life != s.Life {
+	if b.lastSeen = now; b.life != s.Life {
 		// The balancer has just started and knows no agent. Until the next status it could
 		// not route to this agent, nor report that a flow is gone.
 		b.life = s.Life
-		a.enterAgain(from)
+		a.resendEntries(from)
 		if slices.Contains(a.homes.ips, from) {
-			a.greet(from, now)
-		} else if a.homesDue == 0 {
+			a.sendInitialStatus(from, now)
+		} else if a.homesUpdateAt == 0 {
 			// The update sends it the status, with a home set that contains it.
-			a.homesDue = now + homesGather
+			a.homesUpdateAt = now + homesUpdateDelay
 		}
 	}
-	b.agents = int(s.Agents)
-	a.agents = max(a.agents, b.agents)
+	b.agentCount = int(s.Agents)
+	a.agentCount = max(a.agentCount, b.agentCount)
 	for _, ip := range s.Balancers {
-		a.Meet(ip, now)
+		a.AddBalancer(ip, now)
 	}
 	a.version = max(a.version, s.Version)
 	a.setZonesOut(s.Zones, s.Revision, now)
@@ -254,7 +254,7 @@
 	if out == a.zoneOut {
 		return
 	}
-	a.zoneOut, a.outSince = out, now
+	a.zoneOut, a.zoneOutSince = out, now
 	a.Log.zoneChanged(out, revision)
 }
 
@@ -262,35 +262,35 @@
 func (a *Agent) Tick(now time.Duration) time.Duration {
 	a.flows.tick(now)
 	a.probe(now)
-	if now-a.counted >= recountEvery {
-		a.counted = now
+	if now-a.lastRecount >= recountInterval {
+		a.lastRecount = now
 		a.recount(now)
-		a.refresh(now)
+		a.refreshEntries(now)
 	}
-	if a.homesDue != 0 && now >= a.homesDue {
+	if a.homesUpdateAt != 0 && now >= a.homesUpdateAt {
 		a.updateHomes(now)
 	}
-	if a.homesTell != 0 && now >= a.homesTell {
-		a.homesTell = 0
-		if a.homesTells--; a.homesTells > 0 {
-			a.homesTell = now + homesDelay
+	if a.homesSendAt != 0 && now >= a.homesSendAt {
+		a.homesSendAt = 0
+		if a.homesSendsLeft--; a.homesSendsLeft > 0 {
+			a.homesSendAt = now + homesSendDelay
 		}
-		a.tell(now)
+		a.broadcastStatus(now)
 	}
-	if now-a.status >= StatusEvery {
-		a.countAgents()
-		a.tellThose(now, nearEvery(a.agents, len(a.balancers)), farEvery(a.agents))
-		after := max(forgottenAfter, silentStatuses*farEvery(len(a.balancers)))
+	if now-a.lastStatus >= StatusInterval {
+		a.updateAgentCount()
+		a.sendDueStatuses(now, nearInterval(a.agentCount, len(a.balancers)), farInterval(a.agentCount))
+		after := max(expiryTime, maxMissedStatuses*farInterval(len(a.balancers)))
 		for ip, b := range a.balancers {
-			if now-b.heard > after {
+			if now-b.lastSeen > after {
 				delete(a.balancers, ip)
 			}
 		}
 		a.updateHomes(now)
-		a.forgetFormer(now)
+		a.expirePreviousHomes(now)
 	}
-	at := min(a.status+StatusEvery, a.probeDue())
-	for _, due := range []time.Duration{a.homesDue, a.homesTell} {
+	at := min(a.lastStatus+StatusInterval, a.nextProbe())
+	for _, due := range []time.Duration{a.homesUpdateAt, a.homesSendAt} {
 		if due != 0 {
 			at = min(at, due)
 		}
@@ -300,38 +300,38 @@
 
 // updateAgentCount recomputes the fleet size as the largest count that any balancer
 // reports, because balancers that have just started know fewer agents.
-func (a *Agent) countAgents() {
-	a.agents = 0
+func (a *Agent) updateAgentCount() {
+	a.agentCount = 0
 	for _, b := range a.balancers {
-		a.agents = max(a.agents, b.agents)
+		a.agentCount = max(a.agentCount, b.agentCount)
 	}
 }
 
 // broadcastStatus sends the agent's status to all balancers after a change.
-func (a *Agent) tell(now time.Duration) { a.tellThose(now, 0, 0) }
+func (a *Agent) broadcastStatus(now time.Duration) { a.sendDueStatuses(now, 0, 0) }
 
 // sendDueStatuses sends the status to each balancer whose last status is older than
 // nearAfter or farAfter, depending on whether the balancer is near, or that expects one
 // now. A balancer that has stopped being near would otherwise consider the agent silent
 // until the next round of far balancers.
-func (a *Agent) tellThose(now, nearAfter, farAfter time.Duration) {
-	a.status = now
-	nearby := nearest(uint64(a.Life), slices.Collect(maps.Keys(a.balancers)), nearCount(a.agents, len(a.balancers)))
-	if d := digestOf(nearby); d != a.near {
-		a.near = d
-		a.Log.nearChanged(len(nearby), len(a.balancers), a.agents)
+func (a *Agent) sendDueStatuses(now, nearAfter, farAfter time.Duration) {
+	a.lastStatus = now
+	nearby := highestRanked(uint64(a.Life), slices.Collect(maps.Keys(a.balancers)), nearBalancerCount(a.agentCount, len(a.balancers)))
+	if d := digestOf(nearby); d != a.nearDigest {
+		a.nearDigest = d
+		a.Log.nearChanged(len(nearby), len(a.balancers), a.agentCount)
 	}
 	for ip, b := range a.balancers {
-		after, interval := farAfter, farEvery(a.agents)
+		after, interval := farAfter, farInterval(a.agentCount)
 		if contains(nearby, ip) {
-			after, interval = nearAfter, nearEvery(a.agents, len(a.balancers))
+			after, interval = nearAfter, nearInterval(a.agentCount, len(a.balancers))
 		}
 		if b.life == 0 {
-			after = min(after, StatusEvery) // it has not answered, or has not started yet
+			after = min(after, StatusInterval) // it has not answered, or has not started yet
 		}
-		if now-b.told >= min(after, b.promised) {
-			b.told, b.promised = now, interval
-			a.Out.ToProcess(ip, a.statusMessage(b, now, interval, len(a.former) > 0))
+		if now-b.lastSent >= min(after, b.expectedInterval) {
+			b.lastSent, b.expectedInterval = now, interval
+			a.Out.ToProcess(ip, a.statusMessage(b, now, interval, len(a.previousHomes) > 0))
 		}
 	}
 }
@@ -342,18 +342,18 @@
 	a.sequence++
 	s := AgentStatus{
 		Life: a.Life, Sequence: a.sequence, Uptime: MillisOf(now), Service: a.Service, Zone: a.Zone,
-		Every: MillisOf(interval), State: a.upstream.state, Leaving: a.leaving, Slots: uint16(a.upstream.slots),
-		Flows: uint16(max(0, min(a.open, 1<<16-1))), UnderWay: uint16(max(0, min(a.underWay, 1<<16-1))),
+		Interval: MillisOf(interval), State: a.upstream.state, Leaving: a.leaving, Slots: uint16(a.upstream.slots),
+		Flows: uint16(max(0, min(a.openFlows, 1<<16-1))), UnderWay: uint16(max(0, min(a.underWay, 1<<16-1))),
 		Homes: a.homes.digest, Epoch: b.epoch, Entries: b.entries, KnowsAll: a.knowsAll(now),
 	}
 	if s.State == UpstreamReady && a.upstream.silent(now) {
 		s.State = UpstreamSilent
 	}
 	if now < a.upstream.coldTill {
-		s.Cold = MillisOf(a.upstream.coldTill - now)
+		s.ColdRemaining = MillisOf(a.upstream.coldTill - now)
 	}
 	m := s.append(a.scratch[:HeaderLen])
-	if withHomes && len(a.homes.ips) <= homesListed {
+	if withHomes && len(a.homes.ips) <= maxHomesListed {
 		m = appendIPs(append(m, byte(len(a.homes.ips))), a.homes.ips)
 	}
 	h := Message{Kind: KindAgent, Service: a.Service}
--- a/datagram/agents.go
+++ b/datagram/agents.go
@@ -20,7 +20,7 @@
 type agents struct {
 	placement Placement
 	zone      ZoneKey
-	out       map[ZoneKey]bool // shared with the balancer
+	zonesOut  map[ZoneKey]bool // shared with the balancer
 	byIP      map[IP]*agentView
 	byService map[ServiceKey][]*agentView
 }
@@ -32,9 +32,9 @@
 // applyStatus stores a status unless it is outdated. restarted is true if its life was
 // unknown, in which case the agent does not know this balancer yet; changed is true if its
 // content differs from the previous status.
-func (x *agents) hear(ip IP, s AgentStatus, now time.Duration) (restarted, changed bool) {
+func (x *agents) applyStatus(ip IP, s AgentStatus, now time.Duration) (restarted, changed bool) {
 	a := x.byIP[ip]
-	if a != nil && !a.newer(&s, now) {
+	if a != nil && !a.isNewer(&s, now) {
 		return false, false
 	}
 	moved := a == nil || a.status.Service != s.Service
@@ -44,32 +44,32 @@
 	restarted = a.status.Life != s.Life
 	changed = moved || restarted || a.status.State != s.State || a.status.Leaving != s.Leaving
 	if restarted {
-		a.former = [4]Life{a.status.Life, a.former[0], a.former[1], a.former[2]}
+		a.previousLives = [4]Life{a.status.Life, a.previousLives[0], a.previousLives[1], a.previousLives[2]}
 		a.started = now - s.Uptime.Duration()
 	}
-	a.status, a.heard, a.missed, a.suspicion = s, now, 0, suspicion{}
-	a.work = int(s.Flows) + int(s.UnderWay)
+	a.status, a.lastSeen, a.missedOpenings, a.suspicion = s, now, 0, suspicion{}
+	a.reportedLoad = int(s.Flows) + int(s.UnderWay)
 	if moved {
-		x.index()
+		x.rebuildIndex()
 	}
 	return restarted, changed
 }
 
 // isSuspected reports whether the agent is known and suspected.
-func (x *agents) suspects(ip IP) bool {
+func (x *agents) isSuspected(ip IP) bool {
 	a := x.byIP[ip]
 	return a != nil && a.suspicion.since != 0
 }
 
 func (x *agents) add(ip IP, now time.Duration) *agentView {
-	a := &agentView{ip: ip, key: fleet.Mix(uint64(ip), 0), noted: now}
+	a := &agentView{ip: ip, key: fleet.Mix(uint64(ip), 0), discovered: now}
 	x.byIP[ip] = a
 	return a
 }
 
 // applyRecords stores the recorded members. For an agent that has sent a status, the status
 // takes precedence.
-func (x *agents) record(ms []Member, now time.Duration) {
+func (x *agents) applyRecords(ms []Member, now time.Duration) {
 	for _, a := range x.byIP {
 		a.recorded = false
 	}
@@ -81,23 +81,23 @@
 		if a == nil {
 			a = x.add(m.IP, now)
 		}
-		if a.recorded = true; a.heard == 0 {
+		if a.recorded = true; a.lastSeen == 0 {
 			a.status = AgentStatus{Service: m.Service, Zone: m.Zone}
 		}
 	}
-	x.forget(now)
-	x.index()
+	x.expire(now)
+	x.rebuildIndex()
 }
 
-func (x *agents) forget(now time.Duration) {
+func (x *agents) expire(now time.Duration) {
 	for ip, a := range x.byIP {
-		if !a.recorded && now-a.heard > forgottenAfter {
+		if !a.recorded && now-a.lastSeen > expiryTime {
 			delete(x.byIP, ip)
 		}
 	}
 }
 
-func (x *agents) index() {
+func (x *agents) rebuildIndex() {
 	clear(x.byService)
 	for _, ip := range slices.Sorted(maps.Keys(x.byIP)) {
 		a := x.byIP[ip]
--- a/datagram/agentview.go
+++ b/datagram/agentview.go
@@ -10,39 +10,39 @@
 	// intervals, but at least minSilence, plus deliveryMargin. Two intervals tolerate one
 	// lost datagram; minSilence is three intervals of a small fleet; deliveryMargin allows
 	// for the delivery time.
-	silentStatuses = 2
-	silentLeast    = 3 * StatusEvery
-	silentDelay    = 100 * time.Millisecond
+	maxMissedStatuses = 2
+	minSilence        = 3 * StatusInterval
+	deliveryMargin    = 100 * time.Millisecond
 	// expiryTime is the time after which a member is dropped that sends nothing and has no
 	// record. It is longer than a restart takes, and longer than flows can wait for the
 	// member.
-	forgottenAfter = 30 * time.Second
+	expiryTime = 30 * time.Second
 	// doubtThreshold is the number of consecutive openings that an agent must leave
 	// unanswered for others to be tried first. A lost datagram counts as an unanswered
 	// opening.
-	doubtAfter = 1
+	doubtThreshold = 1
 )
 
 // agentView is a balancer's knowledge of one agent.
 type agentView struct {
-	ip         IP
-	key        uint64
-	status     AgentStatus
-	recorded   bool
-	noted      time.Duration // when the agent became known
-	heard      time.Duration // when its last status arrived; 0: never
-	started    time.Duration
-	missed     int // openings left unanswered since the last status
-	suspicion  suspicion
-	toldStatus time.Duration // when this balancer last sent the agent its own status
-	differs    difference
-	homes      homeSet // the balancers among which it chooses homes, valid if the status has this digest
-	work       int     // flows and requests at its upstream, as last reported
-	asked      int     // openings sent to it and not answered yet
+	ip              IP
+	key             uint64
+	status          AgentStatus
+	recorded        bool
+	discovered      time.Duration // when the agent became known
+	lastSeen        time.Duration // when its last status arrived; 0: never
+	started         time.Duration
+	missedOpenings  int // openings left unanswered since the last status
+	suspicion       suspicion
+	statusSent      time.Duration // when this balancer last sent the agent its own status
+	mismatch        homesMismatch
+	homes           homeSet // the balancers among which it chooses homes, valid if the status has this digest
+	reportedLoad    int     // flows and requests at its upstream, as last reported
+	pendingOpenings int     // openings sent to it and not answered yet
 	// declinedAt is when the agent last refused an opening as busy, by the opening's
 	// priority.
-	declined [priorityEnd]time.Duration
-	former   [4]Life
+	declinedAt    [priorityEnd]time.Duration
+	previousLives [4]Life
 }
 
 // class groups agents for openings; agents of a lower class are tried first.
@@ -54,17 +54,17 @@
 	classUnknown
 	classDoubted
 	// classExcluded agents would refuse every opening, so none is sent to them.
-	classNever
+	classExcluded
 )
 
 func (a *agentView) class(now time.Duration, out map[ZoneKey]bool) class {
 	s := &a.status
 	switch {
 	case out[s.Zone], s.Leaving, s.State == UpstreamDraining, s.State == UpstreamGone, s.State == UpstreamAbsent:
-		return classNever
-	case a.missed >= doubtAfter, a.suspicion.since != 0, s.State == UpstreamSilent:
+		return classExcluded
+	case a.missedOpenings >= doubtThreshold, a.suspicion.since != 0, s.State == UpstreamSilent:
 		return classDoubted
-	case a.heard == 0:
+	case a.lastSeen == 0:
 		// Recorded, but no status yet. If these agents came last, a balancer that has just
 		// started would send every opening to the first agent whose status arrives.
 		return classReady
@@ -72,7 +72,7 @@
 		return classDoubted
 	case s.State == UpstreamUnknown:
 		return classUnknown
-	case s.Cold.Duration() > now-a.heard:
+	case s.ColdRemaining.Duration() > now-a.lastSeen:
 		return classCold
 	}
 	return classReady
@@ -82,39 +82,39 @@
 // weigh the same: with a higher weight of requests, feeds pile up where there are few
 // requests.
 func (a *agentView) load() float64 {
-	return float64(a.work+a.asked) / float64(max(a.status.Slots, 1))
+	return float64(a.reportedLoad+a.pendingOpenings) / float64(max(a.status.Slots, 1))
 }
 
 // updateLoad stores the load reported in the answer to an opening, which is newer than the
 // last status.
-func (a *agentView) answered(load uint16) {
-	a.work, a.asked = int(load), max(0, a.asked-1)
+func (a *agentView) updateLoad(load uint16) {
+	a.reportedLoad, a.pendingOpenings = int(load), max(0, a.pendingOpenings-1)
 }
 
 // declineBackoff is how long an agent that declined an opening is not asked again with the
 // same load limit or a lower one. This is about the time in which its upstream completes a
 // request. Without it, waiting openings would cost more messages than small balancers can
 // send.
-const busyFor = 20 * time.Millisecond
+const declineBackoff = 20 * time.Millisecond
 
 // singleOpeningPeriod is the time after a declined opening in which the agent is sent only
 // one opening at a time. Waiting openings retry at the same moment and would all be sent
 // before the first is declined.
-const carefulFor = 200 * time.Millisecond
+const singleOpeningPeriod = 200 * time.Millisecond
 
 // wouldDecline reports whether the agent is expected to decline an opening of the priority.
-func (a *agentView) busy(p Priority, now time.Duration) bool {
-	since := now - a.declined[p]
-	return a.declined[p] != 0 && (since < busyFor || since < carefulFor && a.asked > 0)
+func (a *agentView) wouldDecline(p Priority, now time.Duration) bool {
+	since := now - a.declinedAt[p]
+	return a.declinedAt[p] != 0 && (since < declineBackoff || since < singleOpeningPeriod && a.pendingOpenings > 0)
 }
 
 // noteDecline records that the agent refused an opening of the priority while its upstream
 // had the given number of requests. It would also refuse openings of every other priority
 // whose limit that number reaches.
-func (a *agentView) decline(p Priority, requests int, now time.Duration) {
+func (a *agentView) noteDecline(p Priority, requests int, now time.Duration) {
 	for q := range priorityEnd {
 		if q == p || q.limit()*float64(max(a.status.Slots, 1)) <= float64(requests) {
-			a.declined[q] = now
+			a.declinedAt[q] = now
 		}
 	}
 }
@@ -124,14 +124,14 @@
 // A delayed datagram from before a restart would reset the agent to an outdated state, for
 // example to ready although it now drains. Such a datagram has a life that another one has
 // followed, or an older sequence number. Clocks are not compared, because they can jump.
-func (a *agentView) newer(s *AgentStatus, now time.Duration) bool {
+func (a *agentView) isNewer(s *AgentStatus, now time.Duration) bool {
 	if s.Life == a.status.Life {
 		return s.Sequence > a.status.Sequence
 	}
-	if a.wasBefore(s.Life) {
+	if a.isPreviousLife(s.Life) {
 		return false
 	}
-	return a.heard == 0 || now-s.Uptime.Duration() > a.started
+	return a.lastSeen == 0 || now-s.Uptime.Duration() > a.started
 }
 
 // isPreferred reports whether the agent, which is in the balancer's own availability zone,
@@ -140,27 +140,27 @@
 // Traffic between availability zones costs bandwidth and latency. But the callers of a zone
 // can exceed the capacity of its upstreams, so flows stay within the zone only while that
 // causes no waiting.
-func (a *agentView) nearEnough(o *agentView) bool {
-	return int(a.status.UnderWay)+a.asked < int(max(a.status.Slots, 1)) && a.load() <= nearLoad*o.load()+1/float64(max(a.status.Slots, 1))
+func (a *agentView) isPreferred(o *agentView) bool {
+	return int(a.status.UnderWay)+a.pendingOpenings < int(max(a.status.Slots, 1)) && a.load() <= sameZoneLoadFactor*o.load()+1/float64(max(a.status.Slots, 1))
 }
 
 // sameZoneLoadFactor is how much more loaded an upstream in the own availability zone may
 // be. It keeps the load of the busiest upstream close to the mean.
-const nearLoad = 1.1
+const sameZoneLoadFactor = 1.1
 
 // reachable reports whether the agent's statuses arrive, so that it is expected to answer.
 func (a *agentView) reachable(now time.Duration) bool {
-	return a.heard != 0 && a.suspicion.since == 0 && !a.silent(now)
+	return a.lastSeen != 0 && a.suspicion.since == 0 && !a.silent(now)
 }
 
 // silent reports whether the agent's next status is overdue.
 func (a *agentView) silent(now time.Duration) bool {
-	return now-a.heard > max(silentStatuses*a.status.Every.Duration(), silentLeast)+silentDelay
+	return now-a.lastSeen > max(maxMissedStatuses*a.status.Interval.Duration(), minSilence)+deliveryMargin
 }
 
 // near reports whether the agent sends its status to this balancer often.
 func (a *agentView) near() bool {
-	return a.heard != 0 && a.status.Every.Duration() <= LargeEvery
+	return a.lastSeen != 0 && a.status.Interval.Duration() <= LargeFleetInterval
 }
 
 // knowsHomes reports whether the balancer knows the home set that the agent uses: either
@@ -175,18 +175,20 @@
 // unseenTimeout is the time after which a recorded agent is considered failed if it never
 // sends a status. The agent has been sent this balancer's status by then. The VM behind a
 // record may have died long ago.
-const unheardAfter = 2 * time.Second
+const unseenTimeout = 2 * time.Second
 
 // mayHoldFlows reports whether the agent may hold flows.
-func (a *agentView) mayHold(now time.Duration) bool {
-	return a.mayLive(now) || a.reachable(now) && !a.holdsNone()
+func (a *agentView) mayHoldFlows(now time.Duration) bool {
+	return a.mayBeAlive(now) || a.reachable(now) && !a.holdsNoFlows()
 }
 
 // isPreviousLife reports whether l is an earlier life of the agent.
-func (a *agentView) wasBefore(l Life) bool { return l != 0 && slices.Contains(a.former[:], l) }
+func (a *agentView) isPreviousLife(l Life) bool {
+	return l != 0 && slices.Contains(a.previousLives[:], l)
+}
 
 // holdsNoFlows reports whether the agent has reported that it has no upstream with flows.
-func (a *agentView) holdsNone() bool {
+func (a *agentView) holdsNoFlows() bool {
 	s := &a.status
 	return s.State == UpstreamGone || s.State == UpstreamAbsent ||
 		s.State == UpstreamUnknown && s.KnowsAll && s.Uptime.Duration() > announcedWithin
@@ -198,12 +200,12 @@
 // An agent holds no flows if its upstream had deregistered, or had not announced itself for
 // longer than a running upstream needs to. VMs of such agents are removed soon afterwards
 // and must not delay the callers of other upstreams.
-func (a *agentView) mayLive(now time.Duration) bool {
+func (a *agentView) mayBeAlive(now time.Duration) bool {
 	switch {
-	case a.holdsNone():
+	case a.holdsNoFlows():
 		return false
-	case a.heard == 0:
-		return now < a.noted+unheardAfter
+	case a.lastSeen == 0:
+		return now < a.discovered+unseenTimeout
 	}
 	return !a.suspicion.confirmed(now)
 }
--- a/datagram/balancer.go
+++ b/datagram/balancer.go
@@ -36,28 +36,28 @@
 	// Detached is set while the store does not answer.
 	Detached bool
 	// OnNewerConfiguration is called when another process has a newer configuration.
-	Behind func(from IP, v Version)
+	OnNewerConfiguration func(from IP, v Version)
 
-	config       *Configuration
-	out          map[ZoneKey]bool
-	revision     uint64
-	leaving      bool
-	settled      bool          // the member records were read since this process started
-	agentHeard   time.Duration // when the last message of any agent arrived
-	apartAt      time.Duration // when it was last isolated, or resumed after a pause; 0: never
-	atWork, woke time.Duration // when this process last did something, and when it resumed after a pause
-	lookedAround time.Duration
-	isolated     bool // result of the last check whether it is cut off
-	agents       agents
-	peers        map[IP]*peerView
-	shown        int // position in the sorted peers from which the next status lists them
-	flows        table[place]
-	openings     openings
-	homes        homeSet
-	directory    directory
-	lookups      lookups
-	status       time.Duration
-	scratch      [2048]byte
+	config              *Configuration
+	zonesOut            map[ZoneKey]bool
+	revision            uint64
+	leaving             bool
+	membersRead         bool          // the member records were read since this process started
+	lastAgentMessage    time.Duration // when the last message of any agent arrived
+	lastIsolated        time.Duration // when it was last isolated, or resumed after a pause; 0: never
+	lastActive, resumed time.Duration // when this process last did something, and when it resumed after a pause
+	lastCutOffCheck     time.Duration
+	cutOffFound         bool // result of the last check whether it is cut off
+	agents              agents
+	peers               map[IP]*peerView
+	peerCursor          int // position in the sorted peers from which the next status lists them
+	flows               table[flowLocation]
+	openings            openings
+	homes               homeSet
+	directory           directory
+	lookups             lookups
+	lastStatus          time.Duration
+	scratch             [2048]byte
 }
 
 // BalancerCounts counts a balancer's decisions.
@@ -71,27 +71,27 @@
 }
 
 // flowLocation is the agent that holds a flow, or the attempt to open it.
-type place struct {
+type flowLocation struct {
 	agent   IP     // 0: unknown
 	opening uint32 // 0: the flow is open
-	sent    uint32 // sequence number of the caller's latest data
+	lastSeq uint32 // sequence number of the caller's latest data
 }
 
 const (
 	// locationTableTurn exceeds the longest pause within a flow, so that a location is kept
 	// as long as its flow is in use.
-	placesTurn = 30 * time.Second
+	locationTableTurn = 30 * time.Second
 	// maxLocations bounds a balancer's memory; every flow beyond it costs a lookup.
-	placesMost = 200_000
+	maxLocations = 200_000
 )
 
 // Start initializes the balancer. Its exported fields must be set before.
 func (b *Balancer) Start() {
-	b.out = map[ZoneKey]bool{}
+	b.zonesOut = map[ZoneKey]bool{}
 	b.agents = newAgents()
-	b.agents.placement, b.agents.zone, b.agents.out = b.Placement, b.Zone, b.out
+	b.agents.placement, b.agents.zone, b.agents.zonesOut = b.Placement, b.Zone, b.zonesOut
 	b.peers = map[IP]*peerView{}
-	b.flows = newTable[place](placesTurn, placesMost)
+	b.flows = newTable[flowLocation](locationTableTurn, maxLocations)
 	b.openings = newOpenings()
 	b.homes = newHomeSet([]IP{b.Self})
 	b.directory = newDirectory()
@@ -104,7 +104,7 @@
 
 // ConfigurationVersion returns the version of the current configuration, or 0 if there is
 // none.
-func (b *Balancer) Configured() Version {
+func (b *Balancer) ConfigurationVersion() Version {
 	if b.config == nil {
 		return 0
 	}
@@ -131,45 +131,45 @@
 		return false
 	}
 	b.revision = revision
-	changed := len(zs) != len(b.out) || slices.ContainsFunc(zs, func(z ZoneKey) bool { return !b.out[z] })
+	changed := len(zs) != len(b.zonesOut) || slices.ContainsFunc(zs, func(z ZoneKey) bool { return !b.zonesOut[z] })
 	if !changed {
 		return false
 	}
-	clear(b.out)
+	clear(b.zonesOut)
 	for _, z := range zs {
-		b.out[z] = true
+		b.zonesOut[z] = true
 	}
-	b.tell(now)
+	b.broadcastStatus(now)
 	return true
 }
 
 // SetMembers applies the recorded members. membersRead is true if they were read since this
 // process started, rather than up to some seconds before.
 func (b *Balancer) SetMembers(ms []Member, membersRead bool, now time.Duration) {
-	b.settled = b.settled || membersRead
-	b.agents.record(ms, now)
+	b.membersRead = b.membersRead || membersRead
+	b.agents.applyRecords(ms, now)
 	for _, m := range ms {
 		if !m.Agent {
-			b.meet(m.IP, now)
+			b.discoverPeer(m.IP, now)
 		}
 	}
-	b.tellNew(now)
+	b.sendStatusToNew(now)
 }
 
 // Leave announces that the balancer is about to stop.
 func (b *Balancer) Leave(now time.Duration) {
 	b.leaving = true
-	b.tell(now)
+	b.broadcastStatus(now)
 }
 
 // Ready reports whether the balancer can serve callers.
 func (b *Balancer) Ready() bool {
-	return !b.leaving && b.config != nil && len(b.agents.byIP) > 0 && !b.isolated
+	return !b.leaving && b.config != nil && len(b.agents.byIP) > 0 && !b.cutOffFound
 }
 
 // HandleCaller processes the datagram at m[HeaderLen:], which a caller sent.
 func (b *Balancer) HandleCaller(m []byte, now time.Duration) {
-	b.noticePause(now)
+	b.detectPause(now)
 	p, ok := b.Format.Parse(m[HeaderLen:])
 	if !ok || p.Bounced {
 		b.Count.BadPackets++
@@ -181,9 +181,9 @@
 	}
 	b.Count.Packets++
 	at, _ := b.flows.get(p.Flow)
-	if ip := b.agentAt(at); ip != 0 {
+	if ip := b.agentFor(at); ip != 0 {
 		b.send(m, Message{Kind: KindPacket}, ip)
-		if !b.unanswered(p, at, ip, now) {
+		if !b.needsLookup(p, at, ip, now) {
 			return
 		}
 	}
@@ -193,12 +193,12 @@
 // needsLookup reports whether the caller retransmits on a flow whose agent is not
 // reachable, so that the flow must be looked up. If only the packets from the agent to this
 // balancer are lost, the caller still receives answers and does not retransmit.
-func (b *Balancer) unanswered(p Packet, at place, ip IP, now time.Duration) bool {
+func (b *Balancer) needsLookup(p Packet, at flowLocation, ip IP, now time.Duration) bool {
 	if p.Length == 0 {
 		return false
 	}
-	if at.sent != p.Seq {
-		at.sent = p.Seq
+	if at.lastSeq != p.Seq {
+		at.lastSeq = p.Seq
 		b.flows.set(p.Flow, at)
 		return false
 	}
@@ -208,7 +208,7 @@
 
 // handleNotMine processes a packet that was returned by the agent at which its flow was
 // cached.
-func (b *Balancer) notMine(from IP, m []byte, h Message, now time.Duration) {
+func (b *Balancer) handleNotMine(from IP, m []byte, h Message, now time.Duration) {
 	p, ok := b.Format.Parse(m[HeaderLen:])
 	if !ok {
 		b.Count.BadPackets++
@@ -229,7 +229,7 @@
 // agentFor returns the agent that holds the flow or is being asked to open it, or 0 if
 // there is none. The second case matters because a caller's first packet can overtake the
 // agent's message that the flow is open.
-func (b *Balancer) agentAt(at place) IP {
+func (b *Balancer) agentFor(at flowLocation) IP {
 	if at.opening == 0 {
 		return at.agent
 	}
@@ -252,17 +252,17 @@
 		b.Count.BadMessages++
 		return
 	}
-	b.noticePause(now)
+	b.detectPause(now)
 	if h.Kind.ofAgent() {
-		b.agentHeard = now
+		b.lastAgentMessage = now
 	}
 	switch h.Kind {
 	case KindAgent:
-		b.hearAgent(from, p, now)
+		b.handleAgentStatus(from, p, now)
 	case KindBalancer:
-		b.hearBalancer(from, p, now)
+		b.handleBalancerStatus(from, p, now)
 	case KindSilent:
-		b.hearSilent(p, now)
+		b.handleSilent(p, now)
 	case KindOpened:
 		b.opened(from, h, p, now)
 	case KindRefused:
@@ -272,7 +272,7 @@
 			b.found(from, f, now)
 		}
 	case KindNotMine:
-		b.notMine(from, m, h, now)
+		b.handleNotMine(from, m, h, now)
 	case KindDenied:
 		b.denied(from, h, p, now)
 	case KindEntries:
@@ -286,23 +286,23 @@
 
 // Tick does the work that is due and returns when it must be called again.
 func (b *Balancer) Tick(now time.Duration) time.Duration {
-	b.noticePause(now)
-	b.lookAround(now)
+	b.detectPause(now)
+	b.checkCutOff(now)
 	b.retry(now)
 	b.lookAgain(now)
 	b.flows.tick(now)
 	b.directory.tick(now)
-	if now-b.status >= StatusEvery {
+	if now-b.lastStatus >= StatusInterval {
 		b.suspectSilent(now)
 		b.verifySuspects(now)
-		b.tellDue(now)
-		b.tellNew(now)
-		b.agents.forget(now)
+		b.sendPeriodicStatus(now)
+		b.sendStatusToNew(now)
+		b.agents.expire(now)
 		b.forgetLogs()
-		b.forgetPeers(now)
+		b.expirePeers(now)
 		b.updateHomes(now)
 	}
-	at := min(b.openings.due(), b.status+StatusEvery)
+	at := min(b.openings.due(), b.lastStatus+StatusInterval)
 	if len(b.lookups.queue) > 0 {
 		at = min(at, b.lookups.next)
 	}
--- a/datagram/bench_test.go
+++ b/datagram/bench_test.go
@@ -10,34 +10,34 @@
 )
 
 // discardOutput discards what it is given and counts it.
-type quiet struct{ n int }
+type discardOutput struct{ n int }
 
-func (q *quiet) ToProcess(IP, []byte) { q.n++ }
-func (q *quiet) ToCaller(IP, []byte)  { q.n++ }
-func (q *quiet) ToUpstream([]byte)    { q.n++ }
+func (q *discardOutput) ToProcess(IP, []byte) { q.n++ }
+func (q *discardOutput) ToCaller(IP, []byte)  { q.n++ }
+func (q *discardOutput) ToUpstream([]byte)    { q.n++ }
 
 // benchTime is when the packets of benchmarks arrive. At that time no agent is silent.
-const heardAt = 1500 * time.Millisecond
+const benchTime = 1500 * time.Millisecond
 
 func benchBalancer(tb testing.TB, ks link.Keys) (*Balancer, []byte) {
-	b := &Balancer{Format: plain{}, Out: &quiet{}, Keys: ks}
+	b := &Balancer{Format: plainFormat{}, Out: &discardOutput{}, Keys: ks}
 	b.Start()
 	b.SetConfiguration(&Configuration{Version: 1, Routes: map[Endpoint]Route{{2, 443}: {Shares: []Share{{7, 1}}}}})
 	for ip := range IP(10) {
-		b.agents.hear(ip+1, AgentStatus{Life: Life(ip + 1), Sequence: 1, Service: 7, State: UpstreamReady, Slots: 5}, time.Second)
+		b.agents.applyStatus(ip+1, AgentStatus{Life: Life(ip + 1), Sequence: 1, Service: 7, State: UpstreamReady, Slots: 5}, time.Second)
 	}
 	m := append(plainPacket(plainData, 9), make([]byte, 1000)...)
-	p, _ := plain{}.Parse(m[HeaderLen:])
-	b.flows.set(p.Flow, place{agent: 3})
+	p, _ := plainFormat{}.Parse(m[HeaderLen:])
+	b.flows.set(p.Flow, flowLocation{agent: 3})
 	return b, m
 }
 
 func benchAgent(ks link.Keys) (*Agent, []byte) {
-	a := &Agent{Service: 7, Format: plain{}, Out: &quiet{}, Keys: ks}
+	a := &Agent{Service: 7, Format: plainFormat{}, Out: &discardOutput{}, Keys: ks}
 	a.Start()
-	a.Announce(&Announcement{Service: 7, Born: 5, Sequence: 1, Slots: 5}, time.Second)
+	a.HandleAnnouncement(&Announcement{Service: 7, Born: 5, Sequence: 1, Slots: 5}, time.Second)
 	m := append(plainPacket(plainData, 9), make([]byte, 1000)...)
-	p, _ := plain{}.Parse(m[HeaderLen:])
+	p, _ := plainFormat{}.Parse(m[HeaderLen:])
 	a.flows.set(p.Flow, &flowState{phase: flowOpen, born: 5})
 	h := Message{Kind: KindPacket}
 	h.Put(m, ks[0])
@@ -45,13 +45,13 @@
 }
 
 // Guards against memory allocations in the processing of a packet.
-func TestPathOfAPacketDoesNotAllocate(t *testing.T) {
+func TestPacketProcessingDoesNotAllocate(t *testing.T) {
 	ks := testKeys(t)
 	b, m := benchBalancer(t, ks)
 	a, in := benchAgent(ks)
 	out := append(plainPacket(plainData, 9), 0)
 	for name, f := range map[string]func(){
-		"balancer":      func() { b.HandleCaller(m, heardAt) },
+		"balancer":      func() { b.HandleCaller(m, benchTime) },
 		"agent inward":  func() { a.HandleMessage(1, in, 2*time.Second) },
 		"agent outward": func() { a.HandleUpstream(out, 2*time.Second) },
 	} {
@@ -68,7 +68,7 @@
 	x, m := benchBalancer(b, ks)
 	a, in := benchAgent(ks)
 	for name, f := range map[string]func(){
-		"balancer": func() { x.HandleCaller(m, heardAt) },
+		"balancer": func() { x.HandleCaller(m, benchTime) },
 		"agent":    func() { a.HandleMessage(1, in, 2*time.Second) },
 	} {
 		b.Run(name, func(b *testing.B) {
@@ -87,9 +87,9 @@
 		b.Run(fmt.Sprintf("balancer/%d", n), func(b *testing.B) {
 			for b.Loop() {
 				b.ReportMetric(heapOf(n, func() any {
-					t := newTable[place](placesTurn, placesMost)
+					t := newTable[flowLocation](locationTableTurn, maxLocations)
 					for i := range n {
-						t.set(flow(i), place{agent: 1})
+						t.set(flow(i), flowLocation{agent: 1})
 					}
 					return &t
 				}), "B/flow")
@@ -109,7 +109,7 @@
 		b.Run(fmt.Sprintf("agent/%d", n), func(b *testing.B) {
 			for b.Loop() {
 				b.ReportMetric(heapOf(n, func() any {
-					t := newTable[*flowState](flowsTurn, flowsMost)
+					t := newTable[*flowState](flowTableTurn, maxFlows)
 					for i := range n {
 						t.set(flow(i), &flowState{phase: flowOpen})
 					}
@@ -126,14 +126,14 @@
 func BenchmarkLocate(b *testing.B) {
 	for _, n := range []int{10, 250, 2400} {
 		x, _ := benchBalancer(b, testKeys(b))
-		x.settled = true
+		x.membersRead = true
 		var ips []IP
 		for ip := range IP(400) {
 			ips = append(ips, 1000+ip)
 		}
 		x.homes = newHomeSet(append(ips, x.Self))
 		for ip := range IP(n) {
-			x.agents.hear(ip+1, AgentStatus{Life: Life(ip + 1), Sequence: 2, Service: 7, State: UpstreamReady, KnowsAll: true, Homes: x.homes.digest}, time.Second)
+			x.agents.applyStatus(ip+1, AgentStatus{Life: Life(ip + 1), Sequence: 2, Service: 7, State: UpstreamReady, KnowsAll: true, Homes: x.homes.digest}, time.Second)
 		}
 		p := appendFlow(nil, testFlow(9))
 		for name, look := range map[string]bool{"computing coverage": true, "coverage cached": false} {
@@ -142,7 +142,7 @@
 					if look {
 						x.directory.coverage.at = 0
 					}
-					x.locate(2, p, heardAt)
+					x.locate(2, p, benchTime)
 				}
 				if !x.directory.coverage.ok {
 					b.Error("the directory does not cover all agents")
--- a/datagram/cadence.go
+++ b/datagram/cadence.go
@@ -22,54 +22,54 @@
 const (
 	// StatusInterval is the time between an agent's statuses to near balancers, and between
 	// a balancer's statuses.
-	StatusEvery = 250 * time.Millisecond
+	StatusInterval = 250 * time.Millisecond
 	// LargeFleetInterval replaces StatusInterval in a large fleet.
-	LargeEvery = 2 * StatusEvery
+	LargeFleetInterval = 2 * StatusInterval
 	// initialStatusInterval is the announced time until the status that follows the first
 	// one to a new receiver. It exceeds LargeFleetInterval by the delay of a status, so
 	// that an agent that dies right after its first status is detected as quickly as
 	// others.
-	greetEvery = LargeEvery + 100*time.Millisecond
+	initialStatusInterval = LargeFleetInterval + 100*time.Millisecond
 	// nearAgentsPerBalancer is the average number of agents to which a balancer is near in
 	// a large fleet.
-	nearAgents = 8
+	nearAgentsPerBalancer = 8
 	// smallFleetAgents and smallFleetBalancers limit a fleet in which all members are near
 	// each other, so that a node's share of the control traffic stays within its limit.
-	smallAgents    = 16
-	smallBalancers = 10
+	smallFleetAgents    = 16
+	smallFleetBalancers = 10
 	// minNear is the number of near balancers of an agent in any fleet, so that two remain
 	// if one dies.
-	nearLeast = 3
+	minNear = 3
 	// nearPeers is the number of other balancers to which a balancer is near in a large
 	// fleet.
 	nearPeers = 4
 	// farMessagesPerSecond is the number of messages per second that one receiver gets from
 	// all members that are far from it.
-	farRate = 20
+	farMessagesPerSecond = 20
 	// minFarInterval is as short as is cheap in a medium fleet, so that the far members'
 	// statuses stay fresh there.
-	farLeast = 2 * time.Second
+	minFarInterval = 2 * time.Second
 )
 
 // nearInterval returns the time between statuses to near members.
-func nearEvery(agents, balancers int) time.Duration {
-	if agents <= smallAgents && balancers <= smallBalancers {
-		return StatusEvery
+func nearInterval(agents, balancers int) time.Duration {
+	if agents <= smallFleetAgents && balancers <= smallFleetBalancers {
+		return StatusInterval
 	}
-	return LargeEvery
+	return LargeFleetInterval
 }
 
 // nearBalancerCount returns the number of balancers that are near an agent.
-func nearCount(agents, balancers int) int {
-	if agents <= smallAgents && balancers <= smallBalancers {
+func nearBalancerCount(agents, balancers int) int {
+	if agents <= smallFleetAgents && balancers <= smallFleetBalancers {
 		return balancers
 	}
-	return max(nearLeast, nearAgents*balancers/max(agents, 1))
+	return max(minNear, nearAgentsPerBalancer*balancers/max(agents, 1))
 }
 
 // nearPeerCount returns the number of other balancers that are near a balancer.
 func nearPeerCount(peers int) int {
-	if peers <= smallBalancers {
+	if peers <= smallFleetBalancers {
 		return peers
 	}
 	return nearPeers
@@ -77,13 +77,13 @@
 
 // farInterval returns the time between statuses to far members, given the number of senders
 // in the fleet.
-func farEvery(senders int) time.Duration {
-	return max(farLeast, time.Duration(senders)*time.Second/farRate)
+func farInterval(senders int) time.Duration {
+	return max(minFarInterval, time.Duration(senders)*time.Second/farMessagesPerSecond)
 }
 
 // highestRanked returns the n addresses that rank highest for the key, or all if there are
 // fewer. It may reorder ips.
-func nearest(key uint64, ips []IP, n int) []IP {
+func highestRanked(key uint64, ips []IP, n int) []IP {
 	if n >= len(ips) {
 		return ips
 	}
--- a/datagram/config.go
+++ b/datagram/config.go
@@ -34,7 +34,7 @@
 	Urgent bool
 	// TargetLatency is the time within which its requests are to be answered; 0 if there is
 	// none.
-	Aim time.Duration
+	TargetLatency time.Duration
 }
 
 // Service is the configuration of a service.
@@ -55,7 +55,7 @@
 
 // pickService returns the service that receives the new flow with the hash. It is false if
 // no service has a weight.
-func (r Route) pick(hash uint64) (ServiceKey, bool) {
+func (r Route) pickService(hash uint64) (ServiceKey, bool) {
 	var total uint64
 	for _, s := range r.Shares {
 		total += s.Weight
--- a/datagram/cutoff.go
+++ b/datagram/cutoff.go
@@ -13,44 +13,44 @@
 
 // minPause is twice the longest time between two ticks. A process that was paused for
 // longer has received nothing merely because it did not read.
-const pauseLeast = 2 * StatusEvery
+const minPause = 2 * StatusInterval
 
 // detectPause records when this process resumed after a pause.
-func (b *Balancer) noticePause(now time.Duration) {
-	if now-b.atWork > pauseLeast {
-		b.woke = now
-		if b.atWork != 0 { // not the first call
-			b.suspectAnew(now)
-			b.apartAt = now
+func (b *Balancer) detectPause(now time.Duration) {
+	if now-b.lastActive > minPause {
+		b.resumed = now
+		if b.lastActive != 0 { // not the first call
+			b.restartSuspicions(now)
+			b.lastIsolated = now
 		}
 	}
-	b.atWork = now
+	b.lastActive = now
 }
 
 // cutOff reports whether the balancer is cut off from the service's agents.
 func (b *Balancer) cutOff(s ServiceKey, now time.Duration) bool {
-	return b.blind(s, now) && b.lonely(now)
+	return b.lostAgents(s, now) && b.lostPeers(now)
 }
 
 // cutOffCheckInterval is the time between checks whether the balancer is cut off. Each
 // check looks at all other balancers, which may be hundreds, and the work that is due is
 // checked after every packet.
-const lookAroundEvery = 50 * time.Millisecond
+const cutOffCheckInterval = 50 * time.Millisecond
 
 // checkCutOff records whether the balancer is cut off from the agents of any service.
-func (b *Balancer) lookAround(now time.Duration) {
-	if now-b.lookedAround >= lookAroundEvery {
-		b.lookedAround, b.isolated = now, b.cutOffFromAny(now)
+func (b *Balancer) checkCutOff(now time.Duration) {
+	if now-b.lastCutOffCheck >= cutOffCheckInterval {
+		b.lastCutOffCheck, b.cutOffFound = now, b.cutOffFromAny(now)
 	}
 }
 
 // cutOffFromAny reports whether the balancer is cut off from the agents of any service.
 func (b *Balancer) cutOffFromAny(now time.Duration) bool {
-	if !b.lonely(now) {
+	if !b.lostPeers(now) {
 		return false
 	}
 	for s := range b.agents.byService {
-		if b.blind(s, now) {
+		if b.lostAgents(s, now) {
 			return true
 		}
 	}
@@ -60,13 +60,13 @@
 // lostAgents reports whether the balancer has received statuses from agents of the service,
 // but none recently. Far agents may send less often, but among many of them some send in
 // time.
-func (b *Balancer) blind(s ServiceKey, now time.Duration) bool {
-	known, limit := false, b.lonelyAfter()
+func (b *Balancer) lostAgents(s ServiceKey, now time.Duration) bool {
+	known, limit := false, b.peerLossTimeout()
 	for _, a := range b.agents.byService[s] {
-		if a.reachable(now) && now-a.heard <= limit {
+		if a.reachable(now) && now-a.lastSeen <= limit {
 			return false
 		}
-		known = known || a.heard != 0
+		known = known || a.lastSeen != 0
 	}
 	return known
 }
@@ -74,17 +74,17 @@
 // lostPeers reports whether fewer than half of the balancers that have sent a status in the
 // last half minute still send them. After a pause it is false until the others have had
 // time to send.
-func (b *Balancer) lonely(now time.Duration) bool {
-	after := b.lonelyAfter()
-	if now-b.woke < after {
+func (b *Balancer) lostPeers(now time.Duration) bool {
+	after := b.peerLossTimeout()
+	if now-b.resumed < after {
 		return false
 	}
 	known, recent := 0, 0
 	for _, p := range b.peers {
-		if p.heard == 0 {
+		if p.lastSeen == 0 {
 			continue
 		}
-		if known++; now-p.heard < after {
+		if known++; now-p.lastSeen < after {
 			recent++
 		}
 	}
@@ -93,19 +93,19 @@
 
 // peerLossTimeout is the time after which a balancer counts as lost in lostPeers. Where
 // most balancers are far, one missed status of each is enough, because they are many.
-func (b *Balancer) lonelyAfter() time.Duration {
+func (b *Balancer) peerLossTimeout() time.Duration {
 	if nearPeerCount(len(b.peers)) < len(b.peers) {
-		return farEvery(len(b.peers)+1) + 2*StatusEvery + silentDelay
+		return farInterval(len(b.peers)+1) + 2*StatusInterval + deliveryMargin
 	}
-	return b.peerSilentAfter()
+	return b.peerTimeout()
 }
 
 // peerTimeout is how long another balancer may be silent before it is considered gone. It
 // is computed as for agents, from the status interval between balancers.
-func (b *Balancer) peerSilentAfter() time.Duration {
-	interval := nearEvery(len(b.agents.byIP), len(b.peers)+1)
+func (b *Balancer) peerTimeout() time.Duration {
+	interval := nearInterval(len(b.agents.byIP), len(b.peers)+1)
 	if nearPeerCount(len(b.peers)) < len(b.peers) {
-		interval = farEvery(len(b.peers) + 1)
+		interval = farInterval(len(b.peers) + 1)
 	}
-	return max(silentStatuses*interval, silentLeast) + silentDelay
+	return max(maxMissedStatuses*interval, minSilence) + deliveryMargin
 }
--- a/datagram/decisions_test.go
+++ b/datagram/decisions_test.go
@@ -6,7 +6,7 @@
 )
 
 // recorder is an output for balancers and agents that records what they send.
-type sent struct {
+type recorder struct {
 	process  []Message // without statuses and requests for resends
 	to       []IP
 	verified []IP // receivers of requests for resends
@@ -15,7 +15,7 @@
 	keys     func(*Message, []byte) bool
 }
 
-func (s *sent) ToProcess(ip IP, b []byte) {
+func (s *recorder) ToProcess(ip IP, b []byte) {
 	var m Message
 	if !s.keys(&m, b) {
 		return
@@ -29,24 +29,24 @@
 	}
 }
 
-func (s *sent) ToCaller(IP, []byte) { s.caller++ }
+func (s *recorder) ToCaller(IP, []byte) { s.caller++ }
 
-func (s *sent) ToUpstream([]byte) { s.upstream++ }
+func (s *recorder) ToUpstream([]byte) { s.upstream++ }
 
-func newSent(t *testing.T) *sent {
+func newRecorder(t *testing.T) *recorder {
 	ks := testKeys(t)
-	return &sent{keys: func(m *Message, b []byte) bool { _, ok := m.Get(b, ks); return ok }}
+	return &recorder{keys: func(m *Message, b []byte) bool { _, ok := m.Get(b, ks); return ok }}
 }
 
 // plainFormat is a format whose packets consist of a kind byte, a flow and a payload.
-type plain struct{}
+type plainFormat struct{}
 
 const (
 	plainOpening = 'o'
 	plainData    = 'd'
 )
 
-func (plain) Parse(b []byte) (Packet, bool) {
+func (plainFormat) Parse(b []byte) (Packet, bool) {
 	if len(b) < 1+flowLen {
 		return Packet{}, false
 	}
@@ -54,15 +54,15 @@
 	return Packet{Flow: f, Open: b[0] == plainOpening, Length: len(b) - 1 - flowLen}, ok
 }
 
-func (p plain) ParseOutbound(b []byte) (Packet, bool) { return p.Parse(b) }
+func (p plainFormat) ParseOutbound(b []byte) (Packet, bool) { return p.Parse(b) }
 
-func (plain) SetScratch([]byte, uint32) {}
+func (plainFormat) SetScratch([]byte, uint32) {}
 
-func (plain) ClearBounced([]byte) {}
+func (plainFormat) ClearBounced([]byte) {}
 
-func (plain) PutReset([]byte, Flow, uint32) int { return 1 }
+func (plainFormat) PutReset([]byte, Flow, uint32) int { return 1 }
 
-func (plain) RequestID([]byte) string { return "" }
+func (plainFormat) RequestID([]byte) string { return "" }
 
 func plainPacket(kind byte, port uint16) []byte {
 	b := make([]byte, HeaderLen+1+flowLen)
@@ -76,14 +76,14 @@
 
 // testBalancer returns a balancer that has received a status from each of the agents 1 to n
 // of service 7 at the given time, and the recorder of its output.
-func testBalancer(t *testing.T, n int, now time.Duration) (*Balancer, *sent) {
-	s := newSent(t)
-	b := &Balancer{Self: testSelf, Format: plain{}, Out: s, Keys: testKeys(t)}
+func testBalancer(t *testing.T, n int, now time.Duration) (*Balancer, *recorder) {
+	s := newRecorder(t)
+	b := &Balancer{Self: testSelf, Format: plainFormat{}, Out: s, Keys: testKeys(t)}
 	b.Start()
 	b.SetConfiguration(&Configuration{Version: 1, Routes: map[Endpoint]Route{{2, 443}: {Shares: []Share{{7, 1}}}}})
-	b.settled = true
+	b.membersRead = true
 	for ip := range IP(n) {
-		b.agents.hear(ip+1, AgentStatus{
+		b.agents.applyStatus(ip+1, AgentStatus{
 			Life: Life(ip + 1), Sequence: 1, Service: 7, State: UpstreamReady, Slots: 5, KnowsAll: true, Homes: b.homes.digest,
 		}, now)
 		b.agents.byIP[ip+1].homes = b.homes
@@ -93,7 +93,7 @@
 
 // Guards against a change in the store that no balancer notices, because the balancers
 // selected to watch the store are those that the store does not answer.
-func TestDutiesOfTheStoreGoToThoseThatItAnswers(t *testing.T) {
+func TestStoreDutiesPreferAttachedBalancers(t *testing.T) {
 	for name, x := range map[string]struct{ detached, attachedOnDuty, detachedOnDuty int }{
 		"store answers all balancers": {0, 3, 0},
 		"store answers three":         {4, 3, 0},
@@ -103,7 +103,7 @@
 		t.Run(name, func(t *testing.T) {
 			on := map[bool]int{}
 			for self := IP(101); self <= 107; self++ {
-				b := &Balancer{Self: self, Format: plain{}, Out: newSent(t), Keys: testKeys(t), Detached: int(self) <= 100+x.detached}
+				b := &Balancer{Self: self, Format: plainFormat{}, Out: newRecorder(t), Keys: testKeys(t), Detached: int(self) <= 100+x.detached}
 				b.Start()
 				for ip := IP(101); ip <= 107; ip++ {
 					m := (&BalancerStatus{Life: Life(ip), Detached: int(ip) <= 100+x.detached}).append(make([]byte, HeaderLen))
@@ -111,7 +111,7 @@
 					h.Put(m, b.Keys[0])
 					b.HandleMessage(ip, m, time.Second)
 				}
-				if b.Among(3, time.Second) {
+				if b.IsSelected(3, time.Second) {
 					on[b.Detached]++
 				}
 			}
@@ -124,9 +124,9 @@
 
 // Guards against records of dead VMs that are kept, and against the removal of a live
 // member's record.
-func TestOneBalancerRemovesTheRecordsOfTheDead(t *testing.T) {
+func TestExactlyOneBalancerRemovesEachDeadRecord(t *testing.T) {
 	start := 20 * time.Second
-	now := start + reapAfter + time.Second
+	now := start + deadMemberTimeout + time.Second
 	ms := []Member{{IP: 1, Agent: true, Service: 7}, {IP: 2, Agent: true, Service: 7}, {IP: 9, Agent: true, Service: 7}, {IP: 101}, {IP: 102}, {IP: 103}}
 	removed := map[IP]int{}
 	for self := IP(101); self <= 103; self++ {
@@ -134,13 +134,13 @@
 		b.Self = self
 		b.SetMembers(ms, true, start)
 		for _, p := range b.peers {
-			p.heard = now
+			p.lastSeen = now
 		}
-		b.agents.hear(1, AgentStatus{Life: 1, Sequence: 2, Service: 7, State: UpstreamReady}, now)
-		if early := b.Reap(ms, start+time.Second); len(early) > 0 {
+		b.agents.applyStatus(1, AgentStatus{Life: 1, Sequence: 2, Service: 7, State: UpstreamReady}, now)
+		if early := b.MembersToRemove(ms, start+time.Second); len(early) > 0 {
 			t.Errorf("removed the records of %v after one second", early)
 		}
-		for _, ip := range b.Reap(ms, now) {
+		for _, ip := range b.MembersToRemove(ms, now) {
 			removed[ip]++
 		}
 	}
@@ -150,11 +150,11 @@
 }
 
 // Guards against a process that crashes on a malformed message with a valid tag.
-func TestOddMessagesEndNothing(t *testing.T) {
+func TestMalformedMessagesDoNotPanic(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 2, now)
 	b.Self = 101
-	a := &Agent{Service: 7, Format: plain{}, Out: s, Keys: testKeys(t)}
+	a := &Agent{Service: 7, Format: plainFormat{}, Out: s, Keys: testKeys(t)}
 	a.Start()
 	status := (&BalancerStatus{Life: 3, Balancers: []IP{0, 101, 1}}).append(make([]byte, HeaderLen))
 	for k := KindOpening; k < kindEnd; k++ {
--- a/datagram/directory.go
+++ b/datagram/directory.go
@@ -13,7 +13,7 @@
 
 const (
 	// directoryInterval is longer than the interval at which agents repeat their entries.
-	directoryTurn = refreshEvery + time.Minute
+	directoryTurn = refreshInterval + time.Minute
 	// maxDirectoryFlows bounds the memory of a directory.
 	directoryMost = 400_000
 	// resendInterval is the minimum interval between requests to one agent to resend its
@@ -122,7 +122,7 @@
 		b.Count.BadMessages++
 		return
 	}
-	if a := b.agents.byIP[from]; a != nil && a.wasBefore(h.Life) {
+	if a := b.agents.byIP[from]; a != nil && a.isPreviousLife(h.Life) {
 		return
 	}
 	l := b.directory.log(from, &h)
@@ -190,7 +190,7 @@
 	c := &d.coverage
 	if c.at == 0 || now-c.at >= coverageFor {
 		*c = coverage{at: now, unsure: c.unsure[:0], sets: c.sets[:0]}
-		c.ok = b.settled && !b.lonely(now) && (d.dropped == 0 || now-d.dropped > 2*directoryTurn) && b.cover(c, now)
+		c.ok = b.membersRead && !b.lostPeers(now) && (d.dropped == 0 || now-d.dropped > 2*directoryTurn) && b.cover(c, now)
 		if !c.ok {
 			c.unsure = c.unsure[:0] // incomplete, and so of no use to a lookup
 		}
@@ -209,7 +209,7 @@
 			unheard++
 		}
 		switch {
-		case !a.mayHold(now):
+		case !a.mayHoldFlows(now):
 		case !a.reachable(now), b.stale(a):
 			return false
 		case !a.status.KnowsAll:
--- a/datagram/directory_test.go
+++ b/datagram/directory_test.go
@@ -108,10 +108,10 @@
 
 func newTestPair(t *testing.T) *testPair {
 	p := &testPair{now: time.Second}
-	p.b = &Balancer{Self: testSelf, Life: 50, Format: plain{}, Out: p, Keys: testKeys(t)}
+	p.b = &Balancer{Self: testSelf, Life: 50, Format: plainFormat{}, Out: p, Keys: testKeys(t)}
 	p.b.Start()
-	p.b.settled = true
-	p.a = &Agent{Life: 60, Service: 7, Format: plain{}, Out: p, Keys: testKeys(t)}
+	p.b.membersRead = true
+	p.a = &Agent{Life: 60, Service: 7, Format: plainFormat{}, Out: p, Keys: testKeys(t)}
 	p.startAgent()
 	return p
 }
@@ -120,8 +120,8 @@
 func (p *testPair) startAgent() {
 	p.born = p.now
 	p.a.Start()
-	p.a.Announce(&Announcement{Service: 7, Born: 5, Sequence: 1, Slots: 5}, 0)
-	p.a.Meet(testSelf, 0)
+	p.a.HandleAnnouncement(&Announcement{Service: 7, Born: 5, Sequence: 1, Slots: 5}, 0)
+	p.a.AddBalancer(testSelf, 0)
 }
 
 // advanceTime moves the clock forward and runs the ticks.
@@ -152,7 +152,7 @@
 		"an entry is lost": func(t *testing.T, p *testPair) {
 			p.drop = func(k Kind) bool { return k == KindEntries }
 			p.hold(2)
-			p.pass(2 * StatusEvery)
+			p.pass(2 * StatusInterval)
 			if p.b.coverage(p.now).ok {
 				t.Error("the directory is considered complete although an entry is missing")
 			}
@@ -160,23 +160,23 @@
 		},
 		"the home restarts": func(t *testing.T, p *testPair) {
 			old := p.b
-			p.b = &Balancer{Self: testSelf, Life: 51, Format: plain{}, Out: p, Keys: old.Keys}
+			p.b = &Balancer{Self: testSelf, Life: 51, Format: plainFormat{}, Out: p, Keys: old.Keys}
 			p.b.Start()
-			p.b.settled = true
-			p.b.agents.record([]Member{{IP: testAgent, Agent: true, Service: 7}}, p.now)
+			p.b.membersRead = true
+			p.b.agents.applyRecords([]Member{{IP: testAgent, Agent: true, Service: 7}}, p.now)
 			if p.b.coverage(p.now).ok {
 				t.Error("an empty directory is considered complete")
 			}
 		},
 		"the agent restarts": func(_ *testing.T, p *testPair) {
-			p.a = &Agent{Life: 61, Service: 7, Format: plain{}, Out: p, Keys: p.a.Keys}
+			p.a = &Agent{Life: 61, Service: 7, Format: plainFormat{}, Out: p, Keys: p.a.Keys}
 			p.startAgent()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newTestPair(t)
 			p.hold(1)
-			p.pass(2 * StatusEvery)
+			p.pass(2 * StatusInterval)
 			fault(t, p)
 			p.hold(3)
 			p.pass(2 * time.Second)
@@ -196,7 +196,7 @@
 func TestEntriesOfAFormerLifeChangeNothing(t *testing.T) {
 	now := 10 * time.Second
 	b, _ := testBalancer(t, 1, now)
-	b.agents.hear(1, AgentStatus{Life: 9, Sequence: 1, Service: 7, KnowsAll: true, Homes: b.homes.digest}, now+time.Second)
+	b.agents.applyStatus(1, AgentStatus{Life: 9, Sequence: 1, Service: 7, KnowsAll: true, Homes: b.homes.digest}, now+time.Second)
 	for _, life := range []Life{9, 1} {
 		p := make([]byte, entriesHeadLen+flowLen)
 		p[7] = byte(life)
@@ -213,8 +213,8 @@
 // Guards against flows that are missing in the directories of their new homes after a
 // balancer was added or removed.
 func TestFlowsFollowTheirHomes(t *testing.T) {
-	s := newSent(t)
-	a := &Agent{Service: 7, Format: plain{}, Out: s, Keys: testKeys(t)}
+	s := newRecorder(t)
+	a := &Agent{Service: 7, Format: plainFormat{}, Out: s, Keys: testKeys(t)}
 	a.Start()
 	now := time.Second
 	receive := func(ip IP) {
@@ -226,7 +226,7 @@
 	for ip := IP(101); ip <= 104; ip++ {
 		receive(ip)
 	}
-	now += homesGather
+	now += homesUpdateDelay
 	a.Tick(now)
 	for port := range uint16(100) {
 		f := &flowState{phase: flowOpen}
@@ -248,7 +248,7 @@
 	}
 	checkHomes(newHomeSet([]IP{101, 102, 103, 104}))
 	receive(105)
-	now += homesGather
+	now += homesUpdateDelay
 	a.Tick(now)
 	checkHomes(newHomeSet([]IP{101, 102, 103, 104, 105}))
 	if n := a.balancers[105].entries; n < 20 || n > 60 {
@@ -257,10 +257,10 @@
 	before := a.balancers[101].entries
 	now += homeSilentLeast + time.Second
 	for ip := IP(101); ip <= 104; ip++ {
-		a.balancers[ip].heard = now
+		a.balancers[ip].lastSeen = now
 	}
 	a.Tick(now)
-	a.Tick(now + StatusEvery)
+	a.Tick(now + StatusInterval)
 	checkHomes(newHomeSet([]IP{101, 102, 103, 104}))
 	if a.balancers[101].entries == before {
 		t.Error("a remaining balancer got no entries for the flows of a removed one")
@@ -316,9 +316,9 @@
 func TestFlowsAreToldToWhoeverBelievesToBeTheirHome(t *testing.T) {
 	keys := testKeys(t)
 	o := &believers{keys: keys, sets: map[IP]homeSet{}, flows: map[IP]map[Flow]bool{}}
-	a := &Agent{Service: 7, Format: plain{}, Out: o, Keys: keys}
+	a := &Agent{Service: 7, Format: plainFormat{}, Out: o, Keys: keys}
 	a.Start()
-	a.Announce(&Announcement{Service: 7, Born: 5, Sequence: 1, Slots: 5}, 0)
+	a.HandleAnnouncement(&Announcement{Service: 7, Born: 5, Sequence: 1, Slots: 5}, 0)
 	now := time.Second
 	port := uint16(0)
 	for ip := IP(101); ip <= 140; ip++ {
--- a/datagram/flows.go
+++ b/datagram/flows.go
@@ -83,7 +83,7 @@
 	case !known:
 		f = &flowState{phase: flowAsked, born: a.upstream.born, since: now}
 		a.flows.set(k.Flow, f)
-	case !a.isPresent(f.born), a.upstream.state == UpstreamAbsent:
+	case !a.isCurrentLife(f.born), a.upstream.state == UpstreamAbsent:
 		a.lost(k, f, now)
 		return
 	case f.phase == flowOffered, f.phase == flowAccepted && k.Number != f.accepted+1:
@@ -95,8 +95,8 @@
 		return
 	case f.phase == flowAccepted:
 		f.phase, f.since = flowOpen, now
-		a.open++
-		a.coming.add(-1, now)
+		a.openFlows++
+		a.expectedRequests.add(-1, now)
 	}
 	if f.born == 0 {
 		f.born = a.upstream.born // was unknown when the agent first saw the flow
@@ -137,7 +137,7 @@
 // isEvacuated reports whether no more packets of the flow may be forwarded to the upstream
 // because its availability zone was evacuated some time ago.
 func (a *Agent) closed(f Flow, now time.Duration) bool {
-	return a.zoneOut && now-a.outSince > a.cutAfter(f)
+	return a.zoneOut && now-a.zoneOutSince > a.cutAfter(f)
 }
 
 // evacuationDelay returns how long the flow may continue after its availability zone was
@@ -145,16 +145,16 @@
 func (a *Agent) cutAfter(f Flow) time.Duration {
 	bound := a.Evacuation
 	if bound == 0 {
-		bound = evacuationUsual
+		bound = defaultEvacuation
 	}
 	part := float64(f.hash()>>32) / (1 << 32)
-	return time.Duration((cutFrom + (cutTill-cutFrom)*part) * float64(bound))
+	return time.Duration((cutStart + (cutEnd-cutStart)*part) * float64(bound))
 }
 
 // knowsAllFlows reports whether the agent knows every flow of its upstream, so that it can
 // deny an unknown flow without forwarding a packet of it.
 func (a *Agent) knowsAll(now time.Duration) bool {
-	return a.upstream.complete || now > flowLife ||
+	return a.upstream.complete || now > maxFlowLifetime ||
 		a.upstream.state == UpstreamUnknown && !a.upstream.answers && !a.upstream.listens && now > announcedWithin
 }
 
@@ -179,7 +179,7 @@
 		return
 	}
 	if f.sent && int32(end-f.upTo) <= 0 {
-		a.upstream.mute = a.upstream.mute || now-a.upstream.sign > muteAfter
+		a.upstream.mute = a.upstream.mute || now-a.upstream.sign > muteTimeout
 		return
 	}
 	f.sent, f.upTo = true, end
@@ -189,7 +189,7 @@
 	f.underWay, f.asked = true, now
 	a.underWay++
 	if a.Log != nil {
-		a.Log.decide(decision{event: events.RequestSeen, flow: k.Flow, request: a.Format.RequestID(p), hop: uint8(min(a.underWay, 255)), version: a.version}, now)
+		a.Log.logDecision(decision{event: events.RequestSeen, flow: k.Flow, request: a.Format.RequestID(p), hop: uint8(min(a.underWay, 255)), version: a.version}, now)
 	}
 }
 
@@ -204,13 +204,13 @@
 // recount recomputes the counts from the flows, so that a flow whose end was missed can't
 // make the upstream look busy for long.
 func (a *Agent) recount(now time.Duration) {
-	a.open, a.underWay = 0, 0
+	a.openFlows, a.underWay = 0, 0
 	for _, f := range a.flows.all() {
-		if f.phase != flowOpen || f.finished || !a.isPresent(f.born) {
+		if f.phase != flowOpen || f.finished || !a.isCurrentLife(f.born) {
 			continue
 		}
-		a.open++
-		f.underWay = f.underWay && now-f.asked < requestLife
+		a.openFlows++
+		f.underWay = f.underWay && now-f.asked < maxRequestDuration
 		if f.underWay {
 			a.underWay++
 		}
@@ -249,7 +249,7 @@
 // resetFlow resets the flow for its caller.
 func (a *Agent) cut(k Flow, f *flowState, number uint32, now time.Duration) {
 	a.Count.Resets++
-	a.Log.decide(decision{event: events.FlowCut, flow: k, reason: ReasonGone, version: a.version, age: now - f.since}, now)
+	a.Log.logDecision(decision{event: events.FlowCut, flow: k, reason: ReasonGone, version: a.version, age: now - f.since}, now)
 	n := a.Format.PutReset(a.scratch[:], k, number)
 	a.Out.ToCaller(k.Caller.IP, a.scratch[:n])
 }
@@ -289,7 +289,7 @@
 	if k.Open {
 		f.phase, f.accepted = flowAccepted, k.Seq
 	} else {
-		a.open++
+		a.openFlows++
 	}
 	a.flows.set(k.Flow, f)
 	a.register(k.Flow, f, now)
@@ -308,8 +308,8 @@
 			f.phase, f.accepted = flowAccepted, k.Seq
 			a.register(k.Flow, f, now)
 			a.Count.Established++
-			a.Observe.note(ObserveHandshake, now-f.since)
-			a.Log.decide(decision{event: events.FlowEstablished, flow: k.Flow, agent: f.balancer, version: a.version, age: now - f.since}, now)
+			a.Observe.record(ObserveHandshake, now-f.since)
+			a.Log.logDecision(decision{event: events.FlowEstablished, flow: k.Flow, agent: f.balancer, version: a.version, age: now - f.since}, now)
 		}
 		if f.opening != 0 {
 			a.hint(f.balancer, Message{Kind: KindOpened, Opening: f.opening, Service: a.Service, Load: a.load(now)}, k.Flow)
@@ -317,12 +317,12 @@
 		return
 	case f.phase == flowAsked:
 		f.phase, f.since = flowOpen, now
-		a.open++
+		a.openFlows++
 		a.register(k.Flow, f, now)
 	}
 	if k.Length > 0 && f.underWay {
 		a.ended(f)
-		a.Observe.note(ObserveRequest, now-f.asked)
+		a.Observe.record(ObserveRequest, now-f.asked)
 	}
 	if f.wanted {
 		a.mine(k.Flow, f)
@@ -339,11 +339,11 @@
 
 // uncountFlow removes a flow from the counts.
 func (a *Agent) forgotten(s *flowState) {
-	if !a.isPresent(s.born) {
+	if !a.isCurrentLife(s.born) {
 		return // the counts are those of another run of the upstream
 	}
 	if s.phase == flowOpen {
-		a.open--
+		a.openFlows--
 	}
 	if s.underWay {
 		a.underWay--
@@ -354,7 +354,7 @@
 // there, and otherwise informs the balancer that sent the packet.
 func (a *Agent) bounced(k Packet, m []byte, now time.Duration) {
 	a.Count.Bounced++
-	x := a.pending[k.Scratch%pendingMost]
+	x := a.pending[k.Scratch%maxPending]
 	if k.Scratch == 0 || x.scratch != k.Scratch {
 		a.Count.Dropped++
 		return
--- a/datagram/flows_test.go
+++ b/datagram/flows_test.go
@@ -21,13 +21,13 @@
 		"held by this agent":               {1, true, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSent(t)
-			a := &Agent{Service: 7, Zone: 3, Format: plain{}, Out: s, Keys: testKeys(t)}
+			s := newRecorder(t)
+			a := &Agent{Service: 7, Zone: 3, Format: plainFormat{}, Out: s, Keys: testKeys(t)}
 			a.Start()
-			a.Announce(&Announcement{Service: 7, Born: 5, Sequence: x.first, Slots: 5}, time.Second)
-			a.setZonesOut([]ZoneKey{3}, 9, now-evacuationUsual)
+			a.HandleAnnouncement(&Announcement{Service: 7, Born: 5, Sequence: x.first, Slots: 5}, time.Second)
+			a.setZonesOut([]ZoneKey{3}, 9, now-defaultEvacuation)
 			m := plainPacket(plainData, 9)
-			k, _ := plain{}.Parse(m[HeaderLen:])
+			k, _ := plainFormat{}.Parse(m[HeaderLen:])
 			if x.here {
 				a.flows.set(k.Flow, &flowState{phase: flowOpen, born: 5})
 			}
@@ -60,12 +60,12 @@
 		"agent knows all flows, flow here":      {1, true, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSent(t)
-			a := &Agent{Service: 7, Zone: 3, Format: plain{}, Out: s, Keys: testKeys(t)}
+			s := newRecorder(t)
+			a := &Agent{Service: 7, Zone: 3, Format: plainFormat{}, Out: s, Keys: testKeys(t)}
 			a.Start()
-			a.Announce(&Announcement{Service: 7, Born: 5, Sequence: x.first, Slots: 5}, time.Second)
+			a.HandleAnnouncement(&Announcement{Service: 7, Born: 5, Sequence: x.first, Slots: 5}, time.Second)
 			m := plainPacket(plainData, 9)
-			k, _ := plain{}.Parse(m[HeaderLen:])
+			k, _ := plainFormat{}.Parse(m[HeaderLen:])
 			if x.here {
 				a.flows.set(k.Flow, &flowState{phase: flowOpen, born: 5})
 			}
@@ -91,18 +91,18 @@
 		asks   int
 		want   bool
 	}{
-		"ready":                                  {AgentStatus{State: UpstreamReady}, 2 * time.Second, asksUnanswered - 1, true},
-		"ready, silent for long":                 {AgentStatus{State: UpstreamReady}, goneAfter, asksUnanswered, false},
-		"ready, silent for long, never verified": {AgentStatus{State: UpstreamReady}, 2 * goneAfter, 0, true},
-		"draining":                               {AgentStatus{State: UpstreamDraining}, 2 * time.Second, asksUnanswered - 1, true},
+		"ready":                                  {AgentStatus{State: UpstreamReady}, 2 * time.Second, maxUnanswered - 1, true},
+		"ready, silent for long":                 {AgentStatus{State: UpstreamReady}, failureDetectionTime, maxUnanswered, false},
+		"ready, silent for long, never verified": {AgentStatus{State: UpstreamReady}, 2 * failureDetectionTime, 0, true},
+		"draining":                               {AgentStatus{State: UpstreamDraining}, 2 * time.Second, maxUnanswered - 1, true},
 		"deregistered":                           {AgentStatus{State: UpstreamGone}, 2 * time.Second, 0, false},
 		"never announced":                        {AgentStatus{State: UpstreamUnknown, KnowsAll: true, Uptime: MillisOf(announcedWithin + time.Second)}, 2 * time.Second, 0, false},
 		"never announced, listens":               {AgentStatus{State: UpstreamUnknown, Uptime: MillisOf(announcedWithin + time.Second)}, 2 * time.Second, 0, true},
-		"not announced, agent just restarted":    {AgentStatus{State: UpstreamUnknown, Uptime: MillisOf(time.Second)}, 2 * time.Second, asksUnanswered - 1, true},
+		"not announced, agent just restarted":    {AgentStatus{State: UpstreamUnknown, Uptime: MillisOf(time.Second)}, 2 * time.Second, maxUnanswered - 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := agentView{status: x.status, heard: now - x.silent, suspicion: suspicion{now - x.silent, x.asks, now - askEvery}}
-			if a.mayLive(now) != x.want {
+			a := agentView{status: x.status, lastSeen: now - x.silent, suspicion: suspicion{now - x.silent, x.asks, now - verifyInterval}}
+			if a.mayBeAlive(now) != x.want {
 				t.Errorf("agent may hold flows: %t", !x.want)
 			}
 		})
@@ -110,16 +110,16 @@
 }
 
 // numbered is a format whose packets end with an acknowledgement or sequence number.
-type numbered struct{ plain }
+type numbered struct{ plainFormat }
 
 func (numbered) Parse(b []byte) (Packet, bool) {
-	p, ok := plain{}.Parse(b)
+	p, ok := plainFormat{}.Parse(b)
 	p.Number = binary.BigEndian.Uint32(b[len(b)-4:])
 	return p, ok
 }
 
 func (n numbered) ParseOutbound(b []byte) (Packet, bool) {
-	p, ok := n.plain.Parse(b)
+	p, ok := n.plainFormat.Parse(b)
 	p.Seq = binary.BigEndian.Uint32(b[len(b)-4:])
 	return p, ok
 }
@@ -142,10 +142,10 @@
 		"another, agent restarted":       {17, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSent(t)
+			s := newRecorder(t)
 			a := &Agent{Service: 7, Format: numbered{}, Out: s, Keys: testKeys(t)}
 			a.Start()
-			a.Announce(&Announcement{Service: 7, Born: 5, Sequence: 1, Slots: 5}, time.Second)
+			a.HandleAnnouncement(&Announcement{Service: 7, Born: 5, Sequence: 1, Slots: 5}, time.Second)
 			if x.restarted {
 				a.HandleUpstream(binary.BigEndian.AppendUint32(plainPacket(plainOpening, 9), accepted), time.Second)
 			} else {
--- a/datagram/gate.go
+++ b/datagram/gate.go
@@ -77,11 +77,11 @@
 }
 
 // requests returns the number of requests that the upstream has or will have shortly.
-func (a *Agent) work(now time.Duration) int { return a.underWay + a.coming.count(now) }
+func (a *Agent) work(now time.Duration) int { return a.underWay + a.expectedRequests.count(now) }
 
 // load returns the number of flows and requests that there are or will be shortly.
 func (a *Agent) load(now time.Duration) uint16 {
-	return uint16(min(a.open+a.work(now), math.MaxUint16))
+	return uint16(min(a.openFlows+a.work(now), math.MaxUint16))
 }
 
 // isBusy reports whether the opening should go to another agent. An opening that all agents
@@ -135,9 +135,9 @@
 		}
 		f = &flowState{phase: flowOffered, born: a.upstream.born, since: now}
 		a.flows.set(k.Flow, f)
-		a.coming.add(1, now)
+		a.expectedRequests.add(1, now)
 		a.Count.Taken++
-		a.Log.decide(decision{event: events.OpeningTaken, flow: k.Flow, agent: from, version: a.version, hop: uint8(min(a.underWay, 255))}, now)
+		a.Log.logDecision(decision{event: events.OpeningTaken, flow: k.Flow, agent: from, version: a.version, hop: uint8(min(a.underWay, 255))}, now)
 	}
 	f.balancer, f.opening = from, h.Opening
 	if a.upstream.silent(now) {
@@ -151,18 +151,18 @@
 
 // sendUpstream forwards a packet to the upstream, and remembers it in case it is bounced.
 func (a *Agent) give(p []byte, x pending) {
-	if a.last++; a.last == 0 {
-		a.last++
+	if a.lastScratch++; a.lastScratch == 0 {
+		a.lastScratch++
 	}
-	x.scratch = a.last
-	a.pending[a.last%pendingMost] = x
-	a.Format.SetScratch(p, a.last)
+	x.scratch = a.lastScratch
+	a.pending[a.lastScratch%maxPending] = x
+	a.Format.SetScratch(p, a.lastScratch)
 	a.Out.ToUpstream(p)
 }
 
 func (a *Agent) decline(to IP, h Message, f Flow, r Reason, now time.Duration) {
 	a.Count.Declined++
-	a.Log.decide(decision{event: events.OpeningDeclined, flow: f, agent: to, reason: r, version: a.version}, now)
+	a.Log.logDecision(decision{event: events.OpeningDeclined, flow: f, agent: to, reason: r, version: a.version}, now)
 	a.hint(to, Message{Kind: KindRefused, Reason: r, Requests: uint8(min(a.work(now), math.MaxUint8)), Opening: h.Opening, Service: a.Service, Load: a.load(now)}, f)
 }
 
--- a/datagram/gate_test.go
+++ b/datagram/gate_test.go
@@ -18,77 +18,77 @@
 		opening Message
 		want    Reason
 	}{
-		"ready":           {func(a *Agent) { a.Announce(&ready, now) }, Message{Service: 7}, ReasonNone},
-		"another service": {func(a *Agent) { a.Announce(&ready, now) }, Message{Service: 8}, ReasonService},
+		"ready":           {func(a *Agent) { a.HandleAnnouncement(&ready, now) }, Message{Service: 7}, ReasonNone},
+		"another service": {func(a *Agent) { a.HandleAnnouncement(&ready, now) }, Message{Service: 8}, ReasonService},
 		"not announced":   {func(*Agent) {}, Message{Service: 7}, ReasonUnknown},
-		"not announced, listens, evacuated zones unknown": {func(a *Agent) { a.Recall(false); a.Probed(ProbeAccepted, now) }, Message{Service: 7}, ReasonUnknown},
+		"not announced, listens, evacuated zones unknown": {func(a *Agent) { a.Recall(false); a.HandleProbeResult(ProbeAccepted, now) }, Message{Service: 7}, ReasonUnknown},
 		"not announced, listens, record not read": {func(a *Agent) {
-			a.Probed(ProbeAccepted, now)
+			a.HandleProbeResult(ProbeAccepted, now)
 			a.setZonesOut(nil, 9, now)
 		}, Message{Service: 7}, ReasonUnknown},
 		"not announced, listens, recorded as draining": {func(a *Agent) {
 			a.Recall(true)
-			a.Probed(ProbeAccepted, now)
+			a.HandleProbeResult(ProbeAccepted, now)
 			a.setZonesOut(nil, 9, now)
 		}, Message{Service: 7}, ReasonUnknown},
 		"recorded as draining, another run": {func(a *Agent) {
 			a.Recall(true)
-			a.Announce(&ready, now)
+			a.HandleAnnouncement(&ready, now)
 		}, Message{Service: 7}, ReasonNone},
 		"not announced, listens": {func(a *Agent) {
 			a.Recall(false)
-			a.Probed(ProbeAccepted, now)
+			a.HandleProbeResult(ProbeAccepted, now)
 			a.setZonesOut(nil, 9, now)
 		}, Message{Service: 7}, ReasonNone},
 		"not announced, listens, zone evacuated": {func(a *Agent) {
 			a.Recall(false)
-			a.Probed(ProbeAccepted, now)
+			a.HandleProbeResult(ProbeAccepted, now)
 			a.setZonesOut([]ZoneKey{3}, 9, now)
 		}, Message{Service: 7}, ReasonZoneOut},
 		"not announced, listens, cold limit reached": {func(a *Agent) {
 			a.Recall(false)
-			a.Probed(ProbeAccepted, now)
+			a.HandleProbeResult(ProbeAccepted, now)
 			a.setZonesOut(nil, 9, now)
 			a.upstream.bucket.take(0.5, now)
 		}, Message{Service: 7, Cold: ColdRateOf(0.5)}, ReasonCold},
 		"nothing listens": {func(a *Agent) {
-			a.Announce(&ready, now-time.Second)
-			a.probed = now - time.Millisecond
-			a.Probed(ProbeRefused, now)
+			a.HandleAnnouncement(&ready, now-time.Second)
+			a.lastProbe = now - time.Millisecond
+			a.HandleProbeResult(ProbeRefused, now)
 		}, Message{Service: 7}, ReasonGone},
 		"announced during the probe": {func(a *Agent) {
-			a.probed = now - time.Second
-			a.Announce(&ready, now)
-			a.Probed(ProbeRefused, now)
+			a.lastProbe = now - time.Second
+			a.HandleAnnouncement(&ready, now)
+			a.HandleProbeResult(ProbeRefused, now)
 		}, Message{Service: 7}, ReasonNone},
-		"draining":       {func(a *Agent) { a.Announce(&draining, now) }, Message{Service: 7}, ReasonDraining},
-		"deregistered":   {func(a *Agent) { a.Announce(&ready, now); a.Deregister("", now) }, Message{Service: 7}, ReasonGone},
-		"zone evacuated": {func(a *Agent) { a.Announce(&ready, now); a.setZonesOut([]ZoneKey{3}, 9, now) }, Message{Service: 7}, ReasonZoneOut},
+		"draining":       {func(a *Agent) { a.HandleAnnouncement(&draining, now) }, Message{Service: 7}, ReasonDraining},
+		"deregistered":   {func(a *Agent) { a.HandleAnnouncement(&ready, now); a.Deregister("", now) }, Message{Service: 7}, ReasonGone},
+		"zone evacuated": {func(a *Agent) { a.HandleAnnouncement(&ready, now); a.setZonesOut([]ZoneKey{3}, 9, now) }, Message{Service: 7}, ReasonZoneOut},
 		"zone evacuated in an older revision": {func(a *Agent) {
-			a.Announce(&ready, now)
+			a.HandleAnnouncement(&ready, now)
 			a.setZonesOut(nil, 9, now)
 			a.setZonesOut([]ZoneKey{3}, 8, now)
 		}, Message{Service: 7}, ReasonNone},
 		"evacuation ended": {func(a *Agent) {
-			a.Announce(&ready, now)
+			a.HandleAnnouncement(&ready, now)
 			a.setZonesOut([]ZoneKey{3}, 8, now)
 			a.setZonesOut(nil, 9, now)
 		}, Message{Service: 7}, ReasonNone},
-		"agent leaves":           {func(a *Agent) { a.Announce(&ready, now); a.Leave(now) }, Message{Service: 7}, ReasonDraining},
-		"busy":                   {func(a *Agent) { a.Announce(&ready, now); a.underWay = 10 }, Message{Service: 7}, ReasonBusy},
-		"busy, repeated":         {func(a *Agent) { a.Announce(&ready, now); a.underWay = 10 }, Message{Service: 7, Priority: PriorityRepeated}, ReasonBusy},
-		"busy, repeated, urgent": {func(a *Agent) { a.Announce(&ready, now); a.underWay = 10 }, Message{Service: 7, Priority: PriorityUrgent}, ReasonNone},
-		"full, repeated, urgent": {func(a *Agent) { a.Announce(&ready, now); a.underWay = 15 }, Message{Service: 7, Priority: PriorityUrgent}, ReasonBusy},
-		"almost busy":            {func(a *Agent) { a.Announce(&ready, now); a.underWay = 9 }, Message{Service: 7}, ReasonNone},
-		"cold, no limit":         {func(a *Agent) { a.Announce(&cold, now) }, Message{Service: 7}, ReasonNone},
+		"agent leaves":           {func(a *Agent) { a.HandleAnnouncement(&ready, now); a.Leave(now) }, Message{Service: 7}, ReasonDraining},
+		"busy":                   {func(a *Agent) { a.HandleAnnouncement(&ready, now); a.underWay = 10 }, Message{Service: 7}, ReasonBusy},
+		"busy, repeated":         {func(a *Agent) { a.HandleAnnouncement(&ready, now); a.underWay = 10 }, Message{Service: 7, Priority: PriorityRepeated}, ReasonBusy},
+		"busy, repeated, urgent": {func(a *Agent) { a.HandleAnnouncement(&ready, now); a.underWay = 10 }, Message{Service: 7, Priority: PriorityUrgent}, ReasonNone},
+		"full, repeated, urgent": {func(a *Agent) { a.HandleAnnouncement(&ready, now); a.underWay = 15 }, Message{Service: 7, Priority: PriorityUrgent}, ReasonBusy},
+		"almost busy":            {func(a *Agent) { a.HandleAnnouncement(&ready, now); a.underWay = 9 }, Message{Service: 7}, ReasonNone},
+		"cold, no limit":         {func(a *Agent) { a.HandleAnnouncement(&cold, now) }, Message{Service: 7}, ReasonNone},
 		"cold, limit reached": {func(a *Agent) {
-			a.Announce(&cold, now)
+			a.HandleAnnouncement(&cold, now)
 			a.upstream.bucket.take(0.5, now)
 		}, Message{Service: 7, Cold: ColdRateOf(0.5)}, ReasonCold},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSent(t)
-			a := &Agent{Service: 7, Zone: 3, Format: plain{}, Out: s, Keys: testKeys(t)}
+			s := newRecorder(t)
+			a := &Agent{Service: 7, Zone: 3, Format: plainFormat{}, Out: s, Keys: testKeys(t)}
 			a.Start()
 			x.prepare(a)
 			b := plainPacket(plainOpening, 9)
@@ -113,11 +113,11 @@
 func TestFlowsOfAZoneThatIsOutEndOneByOne(t *testing.T) {
 	for name, bound := range map[string]time.Duration{"default": 0, "short": 2 * time.Second} {
 		t.Run(name, func(t *testing.T) {
-			a := &Agent{Zone: 3, Evacuation: bound, Format: plain{}, Out: newSent(t)}
+			a := &Agent{Zone: 3, Evacuation: bound, Format: plainFormat{}, Out: newRecorder(t)}
 			a.Start()
 			a.setZonesOut([]ZoneKey{3}, 9, time.Second)
 			if bound == 0 {
-				bound = evacuationUsual
+				bound = defaultEvacuation
 			}
 			ends := map[time.Duration]int{}
 			for port := range uint16(1000) {
@@ -142,7 +142,7 @@
 // Guards against an upstream that looks busy because retransmissions after the answer are
 // counted as requests.
 func TestRetransmissionAfterTheAnswerIsNoRequest(t *testing.T) {
-	a := &Agent{Format: plain{}}
+	a := &Agent{Format: plainFormat{}}
 	a.Start()
 	f := &flowState{phase: flowOpen}
 	piece := func(seq uint32) { a.began(Packet{Seq: seq, Length: 100}, f, nil, time.Second) }
--- a/datagram/homes.go
+++ b/datagram/homes.go
@@ -75,7 +75,7 @@
 // homeTimeout returns how long a balancer may be silent before its flows get another home,
 // in a fleet of the given number of balancers.
 func homeSilentAfter(balancers int) time.Duration {
-	return max(homeSilentLeast, 3*farEvery(balancers))
+	return max(homeSilentLeast, 3*farInterval(balancers))
 }
 
 // maxHolders bounds the agents that are recorded for one flow.
--- a/datagram/log.go
+++ b/datagram/log.go
@@ -26,24 +26,24 @@
 type Log struct {
 	Log *events.Log
 	// MaxLines limits the lines about flows per second; further ones are only counted.
-	Most int
+	MaxLines int
 
 	second time.Duration
 	lines  int
 	// LeftOut is the number of lines that exceeded the limit.
-	Left uint64
+	LeftOut uint64
 }
 
 // logDecision logs a decision unless the limit for this second is reached.
-func (l *Log) decide(d decision, now time.Duration) {
+func (l *Log) logDecision(d decision, now time.Duration) {
 	if l == nil || l.Log == nil {
 		return
 	}
 	if now-l.second >= time.Second {
 		l.second, l.lines = now, 0
 	}
-	if l.lines++; l.lines > l.Most {
-		l.Left++
+	if l.lines++; l.lines > l.MaxLines {
+		l.LeftOut++
 		return
 	}
 	l.Log.Decide(events.Decision{
@@ -67,8 +67,8 @@
 	}
 	s := &a.status
 	l.Log.Add(events.AgentChanged, slog.String("doubt", doubt), slog.String("agent", a.ip.String()), slog.String("state", s.State.String()),
-		slog.Bool("leaving", s.Leaving), slog.Duration("cold", s.Cold.Duration()), slog.Uint64("life", uint64(s.Life)),
-		slog.Duration("age", now-a.heard), slog.Duration("every", s.Every.Duration()))
+		slog.Bool("leaving", s.Leaving), slog.Duration("cold", s.ColdRemaining.Duration()), slog.Uint64("life", uint64(s.Life)),
+		slog.Duration("age", now-a.lastSeen), slog.Duration("every", s.Interval.Duration()))
 }
 
 // nearChanged logs the number of near balancers of an agent, of all balancers, and of
--- a/datagram/lookup.go
+++ b/datagram/lookup.go
@@ -38,7 +38,7 @@
 	askedEach = 8
 	// lookupTimeout is longer than VMs take to return, and longer than it takes until an
 	// agent that does not return is considered gone.
-	lookupFor = goneAfter + 500*time.Millisecond
+	lookupFor = failureDetectionTime + 500*time.Millisecond
 	// budgetRetryDelay is the delay before a lookup continues that exceeded the message
 	// budget.
 	lookupShort = 5 * time.Millisecond
@@ -235,7 +235,7 @@
 		b.cutIfConnected(l, now)
 		return
 	}
-	b.Log.decide(decision{event: events.FlowNotFound, flow: l.flow, reason: l.unproved(), hop: uint8(min(len(l.asked), 255)), version: b.Configured(), age: now - l.since}, now)
+	b.Log.logDecision(decision{event: events.FlowNotFound, flow: l.flow, reason: l.unproved(), hop: uint8(min(len(l.asked), 255)), version: b.ConfigurationVersion(), age: now - l.since}, now)
 	b.Count.NotFound++
 	if l.left > 0 { // every candidate was asked, so the next round starts over
 		l.asked = slices.Clone(l.denied)
@@ -305,7 +305,7 @@
 	if a := b.agents.byIP[ip]; a != nil {
 		h.Service = a.status.Service
 	}
-	if len(b.out) > 0 && !slices.Contains(l.holders, ip) {
+	if len(b.zonesOut) > 0 && !slices.Contains(l.holders, ip) {
 		h.Flags |= FlagKnownOnly
 	}
 	b.Count.Asked++
@@ -337,13 +337,13 @@
 
 // handleHeld handles an agent's report that it holds a flow: it sends the kept packets.
 func (b *Balancer) found(from IP, f Flow, now time.Duration) {
-	b.flows.set(f, place{agent: from})
+	b.flows.set(f, flowLocation{agent: from})
 	l := b.lookups.byFlow[f]
 	if l == nil {
 		return
 	}
 	b.endLookup(l)
-	b.Log.decide(decision{event: events.FlowFound, flow: f, agent: from, hop: uint8(min(len(l.asked), 255)), version: b.Configured(), age: now - l.since}, now)
+	b.Log.logDecision(decision{event: events.FlowFound, flow: f, agent: from, hop: uint8(min(len(l.asked), 255)), version: b.ConfigurationVersion(), age: now - l.since}, now)
 	n := 0
 	if slices.Contains(l.asked, from) {
 		n = 1 // the agent already got the first packet
@@ -371,7 +371,7 @@
 	}
 	for _, ip := range slices.Concat(l.holders, l.unsure) {
 		a := b.agents.byIP[ip]
-		if !slices.Contains(l.denied, ip) && (a == nil || a.mayHold(now)) {
+		if !slices.Contains(l.denied, ip) && (a == nil || a.mayHoldFlows(now)) {
 			return false
 		}
 	}
@@ -382,7 +382,7 @@
 // arrived since the lookup began. Otherwise this balancer may have just been cut off
 // together with both homes, which then lack what agents reported since.
 func (b *Balancer) cutIfConnected(l *lookup, now time.Duration) {
-	if b.agentHeard > l.since {
+	if b.lastAgentMessage > l.since {
 		b.cutFlow(l, now)
 		return
 	}
@@ -400,7 +400,7 @@
 	b.endLookup(l)
 	b.flows.remove(l.flow)
 	b.Count.Cut++
-	b.Log.decide(decision{event: events.FlowCut, flow: l.flow, reason: ReasonNotFound, hop: uint8(min(len(l.asked), 255)), version: b.Configured(), age: now - l.since}, now)
+	b.Log.logDecision(decision{event: events.FlowCut, flow: l.flow, reason: ReasonNotFound, hop: uint8(min(len(l.asked), 255)), version: b.ConfigurationVersion(), age: now - l.since}, now)
 	b.reset(l.flow, l.number)
 }
 
--- a/datagram/lookup_test.go
+++ b/datagram/lookup_test.go
@@ -8,12 +8,12 @@
 
 // testFlow returns the flow of plainPacket with the given caller port.
 func testFlow(port uint16) Flow {
-	p, _ := plain{}.Parse(plainPacket(plainData, port)[HeaderLen:])
+	p, _ := plainFormat{}.Parse(plainPacket(plainData, port)[HeaderLen:])
 	return p.Flow
 }
 
 // askedAgents returns the agents that were sent packets, in order.
-func (s *sent) asks() []IP {
+func (s *recorder) asks() []IP {
 	var ips []IP
 	for i, m := range s.process {
 		if m.Kind == KindPacket {
@@ -58,7 +58,7 @@
 			b.agents.byIP[2].status.KnowsAll = false
 		}, FlagUnsure, 1, 0},
 		"agent of another service started after its upstream": {func(b *Balancer, now time.Duration) {
-			b.agents.hear(9, AgentStatus{Life: 9, Sequence: 1, Service: 8, State: UpstreamReady, Homes: b.homes.digest}, now)
+			b.agents.applyStatus(9, AgentStatus{Life: 9, Sequence: 1, Service: 8, State: UpstreamReady, Homes: b.homes.digest}, now)
 		}, 0, 0, 0},
 		"an entry is missing": {func(b *Balancer, _ time.Duration) {
 			b.agents.byIP[1].status.Entries = 1
@@ -66,15 +66,15 @@
 		"agent chooses homes from another set": {func(b *Balancer, _ time.Duration) {
 			b.agents.byIP[1].status.Homes++
 		}, 0, 0, 0},
-		"member records not read": {func(b *Balancer, _ time.Duration) { b.settled = false }, 0, 0, 0},
+		"member records not read": {func(b *Balancer, _ time.Duration) { b.membersRead = false }, 0, 0, 0},
 		"agent silent for two seconds": {func(b *Balancer, now time.Duration) {
-			b.agents.byIP[1].heard = now - 2*time.Second
+			b.agents.byIP[1].lastSeen = now - 2*time.Second
 		}, 0, 0, 0},
 		"agent silent for long": {func(b *Balancer, now time.Duration) {
 			leaveUnanswered(b, 1, now)
 		}, 0, 0, 1},
 		"agent silent for long, never verified": {func(b *Balancer, now time.Duration) {
-			b.agents.byIP[1].heard = now - 2*goneAfter
+			b.agents.byIP[1].lastSeen = now - 2*failureDetectionTime
 		}, 0, 0, 0},
 		"most agents silent for long": {func(b *Balancer, now time.Duration) {
 			leaveUnanswered(b, 1, now)
@@ -84,7 +84,7 @@
 			b.SetMembers([]Member{{IP: 9, Agent: true, Service: 7}}, true, now)
 		}, 0, 0, 0},
 		"agent recorded for long, never heard": {func(b *Balancer, now time.Duration) {
-			b.SetMembers([]Member{{IP: 9, Agent: true, Service: 7}}, true, now-2*unheardAfter)
+			b.SetMembers([]Member{{IP: 9, Agent: true, Service: 7}}, true, now-2*unseenTimeout)
 		}, 0, 0, 1},
 		"the other home does not answer": {func(b *Balancer, now time.Duration) {
 			addPeer(b, 101, now)
@@ -113,13 +113,13 @@
 // balancer's questions.
 func leaveUnanswered(b *Balancer, ip IP, now time.Duration) {
 	a := b.agents.byIP[ip]
-	a.heard, a.suspicion = now-2*goneAfter, suspicion{now - goneAfter, asksUnanswered, now - askEvery}
+	a.lastSeen, a.suspicion = now-2*failureDetectionTime, suspicion{now - failureDetectionTime, maxUnanswered, now - verifyInterval}
 }
 
 // addPeer adds another balancer that is alive, and makes the agents know it too.
 func addPeer(b *Balancer, ip IP, now time.Duration) {
-	b.meet(ip, now)
-	b.peers[ip].heard = now
+	b.discoverPeer(ip, now)
+	b.peers[ip].lastSeen = now
 	b.updateHomes(now)
 	for _, a := range b.agents.byIP {
 		a.status.Homes, a.homes = b.homes.digest, b.homes
@@ -137,7 +137,7 @@
 func TestHomeFindsAFlowOfAFormerService(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 3, now-200*time.Millisecond)
-	b.agents.hear(9, AgentStatus{Life: 9, Sequence: 1, Service: 8, State: UpstreamReady, KnowsAll: true, Homes: b.homes.digest}, now)
+	b.agents.applyStatus(9, AgentStatus{Life: 9, Sequence: 1, Service: 8, State: UpstreamReady, KnowsAll: true, Homes: b.homes.digest}, now)
 	addPeer(b, 101, now)
 	b.HandleCaller(plainPacket(plainData, 5), now)
 	tellHome(b, 101, 5, now, 9)
@@ -242,7 +242,7 @@
 		t.Run(name, func(t *testing.T) {
 			now := 10 * time.Second
 			b, s := testBalancer(t, 3, now-200*time.Millisecond)
-			b.agents.byIP[2].heard = now - 2*time.Second
+			b.agents.byIP[2].lastSeen = now - 2*time.Second
 			b.HandleCaller(plainPacket(plainData, 5), now)
 			if s.caller != 0 {
 				t.Fatal("flow reset although one agent is unreachable")
@@ -263,7 +263,7 @@
 func hearAgent(b *Balancer, ip IP, now time.Duration) {
 	s := b.agents.byIP[ip].status
 	s.Sequence++
-	b.agents.hear(ip, s, now)
+	b.agents.applyStatus(ip, s, now)
 }
 
 // Guards against many concurrent lookups that exhaust a small VM's bandwidth, processor or
@@ -284,7 +284,7 @@
 	}
 	for end := now + lookupFor + time.Second; now < end; now += lookupShort {
 		for ip := range b.agents.byIP {
-			b.agents.byIP[ip].heard = now
+			b.agents.byIP[ip].lastSeen = now
 		}
 		b.Tick(now)
 	}
@@ -337,8 +337,8 @@
 	b.agents.byIP[2].homes, b.agents.byIP[2].status.Homes = others, others.digest
 	sure := 0
 	for port := range uint16(200) {
-		s := newSent(t)
-		b.Out = &withPayload{sent: s}
+		s := newRecorder(t)
+		b.Out = &withPayload{recorder: s}
 		b.locate(101, appendFlow(nil, testFlow(port)), now)
 		_, ls, ok := decodeLocated(b.Out.(*withPayload).last)
 		if !ok || len(ls) != 1 || ls[0].flow != testFlow(port) {
@@ -359,13 +359,13 @@
 
 // payloadRecorder records the payload of the last message.
 type withPayload struct {
-	*sent
+	*recorder
 	last []byte
 }
 
 func (w *withPayload) ToProcess(ip IP, m []byte) {
 	w.last = slices.Clone(m[HeaderLen:])
-	w.sent.ToProcess(ip, m)
+	w.recorder.ToProcess(ip, m)
 }
 
 func FuzzLocated(f *testing.F) {
--- a/datagram/message_test.go
+++ b/datagram/message_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestStatusesComeBack(t *testing.T) {
-	a := AgentStatus{Life: 1, Sequence: 2, Uptime: 3, Service: 4, Zone: 5, State: UpstreamDraining, Leaving: true, Slots: 6, Flows: 7, UnderWay: 8, Cold: 9}
+	a := AgentStatus{Life: 1, Sequence: 2, Uptime: 3, Service: 4, Zone: 5, State: UpstreamDraining, Leaving: true, Slots: 6, Flows: 7, UnderWay: 8, ColdRemaining: 9}
 	var got AgentStatus
 	if b := a.append(nil); !got.decode(b) || got != a || len(b) != agentStatusLen {
 		t.Errorf("agent status decoded as %+v", got)
--- a/datagram/observe.go
+++ b/datagram/observe.go
@@ -28,7 +28,7 @@
 // observer receives durations; a nil observer ignores them.
 type observer func(Observation, time.Duration)
 
-func (f observer) note(o Observation, d time.Duration) {
+func (f observer) record(o Observation, d time.Duration) {
 	if f != nil {
 		f(o, d)
 	}
@@ -45,53 +45,53 @@
 	AgentsHeard   int            `json:"agentsHeard"`
 	AgentsDoubted int            `json:"agentsDoubted"`
 	Balancers     int            `json:"balancers"`
-	LinesLeft     uint64         `json:"linesLeftOut"`
+	LinesLeftOut  uint64         `json:"linesLeftOut"`
 	Ready         bool           `json:"ready"`
 }
 
 // Status returns the balancer's state and counts.
 func (b *Balancer) Status(now time.Duration) BalancerState {
 	s := BalancerState{
-		Counts: b.Count, Version: b.Configured(), Revision: b.revision, ZonesOut: len(b.out), Flows: b.flows.len(),
+		Counts: b.Count, Version: b.ConfigurationVersion(), Revision: b.revision, ZonesOut: len(b.zonesOut), Flows: b.flows.len(),
 		Agents: len(b.agents.byIP), Balancers: len(b.peers), Ready: b.Ready(),
 	}
 	for _, a := range b.agents.byIP {
 		if a.reachable(now) {
 			s.AgentsHeard++
 		}
-		if a.class(now, b.out) == classDoubted {
+		if a.class(now, b.zonesOut) == classDoubted {
 			s.AgentsDoubted++
 		}
 	}
 	if b.Log != nil {
-		s.LinesLeft = b.Log.Left
+		s.LinesLeftOut = b.Log.LeftOut
 	}
 	return s
 }
 
 // AgentState is an agent's part of /state and of its metrics.
 type AgentState struct {
-	Counts    AgentCounts `json:"counts"`
-	Upstream  string      `json:"upstream"`
-	State     string      `json:"upstreamState"`
-	Known     int         `json:"flowsKnown"`
-	Open      int         `json:"flows"`
-	UnderWay  int         `json:"requestsUnderWay"`
-	Balancers int         `json:"balancers"`
-	ZoneOut   bool        `json:"zoneOut"`
-	Revision  uint64      `json:"evacuationsRevision"`
-	Version   Version     `json:"version"`
-	LinesLeft uint64      `json:"linesLeftOut"`
+	Counts       AgentCounts `json:"counts"`
+	Upstream     string      `json:"upstream"`
+	State        string      `json:"upstreamState"`
+	Known        int         `json:"flowsKnown"`
+	Open         int         `json:"flows"`
+	UnderWay     int         `json:"requestsUnderWay"`
+	Balancers    int         `json:"balancers"`
+	ZoneOut      bool        `json:"zoneOut"`
+	Revision     uint64      `json:"evacuationsRevision"`
+	Version      Version     `json:"version"`
+	LinesLeftOut uint64      `json:"linesLeftOut"`
 }
 
 // Status returns the agent's state and counts.
 func (a *Agent) Status(time.Duration) AgentState {
 	s := AgentState{
-		Counts: a.Count, Upstream: a.upstream.id, State: a.upstream.state.String(), Known: a.flows.len(), Open: a.open,
+		Counts: a.Count, Upstream: a.upstream.id, State: a.upstream.state.String(), Known: a.flows.len(), Open: a.openFlows,
 		UnderWay: a.underWay, Balancers: len(a.balancers), ZoneOut: a.zoneOut, Revision: a.revision, Version: a.version,
 	}
 	if a.Log != nil {
-		s.LinesLeft = a.Log.Left
+		s.LinesLeftOut = a.Log.LeftOut
 	}
 	return s
 }
--- a/datagram/openings.go
+++ b/datagram/openings.go
@@ -160,7 +160,7 @@
 			b.again(o, now)
 			return
 		}
-		if a := b.agents.byIP[at.agent]; at.opening == 0 && a != nil && a.missed == 0 {
+		if a := b.agents.byIP[at.agent]; at.opening == 0 && a != nil && a.missedOpenings == 0 {
 			// The upstream's acceptance was lost; this makes the upstream send it again.
 			b.send(m, Message{Kind: KindOpening, Service: a.status.Service, Cold: b.cold(a.status.Service)}, a.ip)
 			return
@@ -170,7 +170,7 @@
 		return // the caller retransmits; there may be a configuration by then
 	}
 	r, ok := b.config.Routes[p.Flow.Address]
-	s, served := r.pick(p.Flow.hash())
+	s, served := r.pickService(p.Flow.hash())
 	if !ok || !served {
 		b.Count.NoRoute++
 		b.refuse(p.Flow, p.Seq, ReasonNoRoute, now)
@@ -181,11 +181,11 @@
 		return
 	}
 	o := b.openings.add()
-	o.flow, o.service, o.started, o.urgent, o.aim = p.Flow, s, now-copyAge(p.Number), r.Urgent, r.Aim
+	o.flow, o.service, o.started, o.urgent, o.aim = p.Flow, s, now-copyAge(p.Number), r.Urgent, r.TargetLatency
 	if n := len(m) - HeaderLen; n <= openingBytes {
 		o.length = copy(o.packet[HeaderLen:], m[HeaderLen:])
 	}
-	b.flows.set(p.Flow, place{opening: o.id})
+	b.flows.set(p.Flow, flowLocation{opening: o.id})
 	b.try(o, now)
 }
 
@@ -257,15 +257,15 @@
 // priority.
 func (o *opening) insists(b *Balancer, now time.Duration) bool {
 	a := b.agents.byIP[o.idlest]
-	return a != nil && !o.forced && !a.busy(o.repeated(now), now)
+	return a != nil && !o.forced && !a.wouldDecline(o.repeated(now), now)
 }
 
 // sendOpening sends the opening to the agent.
 func (b *Balancer) ask(o *opening, a *agentView, c class, p Priority, now time.Duration) {
 	o.agent = a.ip
-	a.asked++
-	b.Log.decide(decision{
-		event: events.OpeningPlaced, flow: o.flow, agent: a.ip, hop: uint8(o.asked), version: b.Configured(), class: c, age: now - a.heard,
+	a.pendingOpenings++
+	b.Log.logDecision(decision{
+		event: events.OpeningPlaced, flow: o.flow, agent: a.ip, hop: uint8(o.asked), version: b.ConfigurationVersion(), class: c, age: now - a.lastSeen,
 	}, now)
 	o.priority = p
 	b.send(o.packet[:HeaderLen+o.length], Message{Kind: KindOpening, Priority: p, Opening: o.id, Service: o.service, Cold: b.cold(o.service)}, a.ip)
@@ -287,7 +287,7 @@
 		b.Count.NoAgent++
 	}
 	if o.silent || o.asked == 0 {
-		b.Log.decide(decision{event: events.OpeningUnplaced, flow: o.flow, hop: uint8(o.asked), reason: ReasonNoAgent, version: b.Configured(), age: now - o.started}, now)
+		b.Log.logDecision(decision{event: events.OpeningUnplaced, flow: o.flow, hop: uint8(o.asked), reason: ReasonNoAgent, version: b.ConfigurationVersion(), age: now - o.started}, now)
 		return
 	}
 	p, _ := b.Format.Parse(o.packet[HeaderLen : HeaderLen+o.length])
@@ -309,7 +309,7 @@
 // refuse resets an opening that no agent was sent, or that all agents refused.
 func (b *Balancer) refuse(f Flow, seq uint32, cause Reason, now time.Duration) {
 	b.Count.Resets++
-	b.Log.decide(decision{event: events.OpeningRefused, flow: f, reason: cause, version: b.Configured()}, now)
+	b.Log.logDecision(decision{event: events.OpeningRefused, flow: f, reason: cause, version: b.ConfigurationVersion()}, now)
 	b.reset(f, seq)
 }
 
@@ -327,14 +327,14 @@
 	}
 	b.Count.Opened++
 	if o := b.openings.get(h.Opening); o != nil && o.flow == f {
-		b.Observe.note(ObserveOpening, now-o.started)
+		b.Observe.record(ObserveOpening, now-o.started)
 		b.openings.answered(o, from, now)
 		*o = opening{}
-		b.flows.set(f, place{agent: from})
+		b.flows.set(f, flowLocation{agent: from})
 	}
 	if a := b.agents.byIP[from]; a != nil {
-		a.missed = 0
-		a.answered(h.Load)
+		a.missedOpenings = 0
+		a.updateLoad(h.Load)
 	}
 }
 
@@ -346,7 +346,7 @@
 	b.Count.Refused++
 	b.openings.answered(o, from, now)
 	if a := b.agents.byIP[from]; a != nil {
-		a.answered(h.Load)
+		a.updateLoad(h.Load)
 	}
 	switch h.Reason {
 	case ReasonUnknown, ReasonSilent:
@@ -354,13 +354,13 @@
 	case ReasonBusy:
 		o.silent, o.busy = true, true // a slot will be free before the caller gives up
 		if a := b.agents.byIP[from]; a != nil {
-			a.decline(o.priority, int(h.Requests), now)
+			a.noteDecline(o.priority, int(h.Requests), now)
 		}
 		if o.idlest == 0 || h.Load < o.requests {
 			o.idlest, o.requests = from, h.Load
 		}
 	}
-	b.Log.decide(decision{event: events.OpeningPassed, flow: o.flow, agent: from, reason: h.Reason, hop: uint8(o.asked), version: b.Configured(), age: now - o.at}, now)
+	b.Log.logDecision(decision{event: events.OpeningPassed, flow: o.flow, agent: from, reason: h.Reason, hop: uint8(o.asked), version: b.ConfigurationVersion(), age: now - o.at}, now)
 	b.try(o, now)
 }
 
@@ -375,13 +375,13 @@
 		}
 		b.Count.Unanswered++
 		if a := b.agents.byIP[o.agent]; a != nil {
-			a.asked = max(0, a.asked-1)
-			if a.heard < o.at {
-				a.missed++
+			a.pendingOpenings = max(0, a.pendingOpenings-1)
+			if a.lastSeen < o.at {
+				a.missedOpenings++
 			}
 		}
 		o.silent = true
-		b.Log.decide(decision{event: events.OpeningPassed, flow: o.flow, agent: o.agent, reason: ReasonSilent, hop: uint8(o.asked), version: b.Configured(), age: now - o.at}, now)
+		b.Log.logDecision(decision{event: events.OpeningPassed, flow: o.flow, agent: o.agent, reason: ReasonSilent, hop: uint8(o.asked), version: b.ConfigurationVersion(), age: now - o.at}, now)
 		if now-o.started > openingLife {
 			o.deadline = 0
 			continue
--- a/datagram/openings_test.go
+++ b/datagram/openings_test.go
@@ -22,7 +22,7 @@
 			t.Fatal("an opening was sent to the silent agent first again")
 		}
 	}
-	b.agents.hear(dead, AgentStatus{Life: Life(dead), Sequence: 2, Service: 7, State: UpstreamReady, Slots: 5}, now)
+	b.agents.applyStatus(dead, AgentStatus{Life: Life(dead), Sequence: 2, Service: 7, State: UpstreamReady, Slots: 5}, now)
 	if b.agents.byIP[dead].class(now, nil) != classReady {
 		t.Error("an agent that sent a status again is still doubted")
 	}
@@ -84,11 +84,11 @@
 			b.refused(s.to[asked], Message{Opening: s.process[asked].Opening, Reason: ReasonBusy, Load: 20, Requests: 10}, now)
 		}
 		for ip := range b.agents.byIP {
-			b.agents.byIP[ip].heard = now
+			b.agents.byIP[ip].lastSeen = now
 		}
 		b.Tick(now)
 	}
-	if most := 50 + 7*int(time.Second/busyFor); asked > most {
+	if most := 50 + 7*int(time.Second/declineBackoff); asked > most {
 		t.Errorf("%d openings sent in a second, want at most %d", asked, most)
 	}
 	if asked < 100 {
@@ -101,7 +101,7 @@
 func TestBusyAgentsGoBeforeDoubtedOnes(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 4, now-100*time.Millisecond)
-	b.agents.byIP[4].missed = doubtAfter
+	b.agents.byIP[4].missedOpenings = doubtThreshold
 	b.HandleCaller(plainPacket(plainOpening, 1), now)
 	for i := 0; i < len(s.to); i++ {
 		if s.to[i] == 4 {
@@ -113,7 +113,7 @@
 		t.Errorf("opening sent to %v, want the three reachable agents", s.to)
 	}
 	for ip := IP(1); ip <= 3; ip++ {
-		b.agents.byIP[ip].heard = now - 2*time.Second // all agents are silent now
+		b.agents.byIP[ip].lastSeen = now - 2*time.Second // all agents are silent now
 	}
 	b.Tick(now + roomAfter)
 	if len(s.to) != 4 {
--- a/datagram/order.go
+++ b/datagram/order.go
@@ -11,7 +11,7 @@
 // to upstreams that do not hold them.
 func (x *agents) rank(hash uint64, a *agentView) uint64 {
 	r := fleet.Mix(hash, a.key) >> 1
-	if x.out[a.status.Zone] {
+	if x.zonesOut[a.status.Zone] {
 		r |= 1 << 63
 	}
 	return r
--- a/datagram/peers.go
+++ b/datagram/peers.go
@@ -9,20 +9,20 @@
 
 // peerView is a balancer's knowledge of another balancer.
 type peerView struct {
-	life        Life
-	noted       time.Duration // when it became known
-	heard, told time.Duration // last status received from it and sent to it; 0: never
-	detached    bool          // it reports that the store does not answer it
-	differs     difference
+	life               Life
+	discovered         time.Duration // when it became known
+	lastSeen, lastSent time.Duration // last status received from it and sent to it; 0: never
+	detached           bool          // it reports that the store does not answer it
+	mismatch           homesMismatch
 }
 
-func (p *peerView) lastSign() time.Duration { return max(p.noted, p.heard) }
+func (p *peerView) lastActivity() time.Duration { return max(p.discovered, p.lastSeen) }
 
 // Peers returns the known balancers that have sent a status.
 func (b *Balancer) Peers() []IP {
 	var ips []IP
 	for ip, p := range b.peers {
-		if p.heard != 0 {
+		if p.lastSeen != 0 {
 			ips = append(ips, ip)
 		}
 	}
@@ -33,134 +33,136 @@
 // not need every balancer. Rendezvous hashing selects them among the live balancers.
 // Balancers that the store answers are selected first, because all these duties use the
 // store.
-func (b *Balancer) Among(n int, now time.Duration) bool {
+func (b *Balancer) IsSelected(n int, now time.Duration) bool {
 	var attached, detached []IP
-	for _, ip := range b.heard(now) {
+	for _, ip := range b.aliveBalancers(now) {
 		if p := b.peers[ip]; p != nil && p.detached || p == nil && b.Detached {
 			detached = append(detached, ip)
 		} else {
 			attached = append(attached, ip)
 		}
 	}
-	chosen := nearest(dutyKey, attached, n)
-	chosen = append(chosen, nearest(dutyKey, detached, n-len(chosen))...)
+	chosen := highestRanked(selectionKey, attached, n)
+	chosen = append(chosen, highestRanked(selectionKey, detached, n-len(chosen))...)
 	return contains(chosen, b.Self)
 }
 
 // selectionKey is an arbitrary number that is the same on all balancers.
-const dutyKey = 0x64757479
+const selectionKey = 0x64757479
 
 // updateHomes recomputes the balancers that are homes.
 func (b *Balancer) updateHomes(now time.Duration) {
-	b.homes = newHomeSet(b.heardWithin(homeSilentAfter(len(b.peers)+1), now))
+	b.homes = newHomeSet(b.balancersSeenWithin(homeSilentAfter(len(b.peers)+1), now))
 }
 
 // aliveBalancers returns this balancer and those whose statuses arrive.
-func (b *Balancer) heard(now time.Duration) []IP { return b.heardWithin(b.peerSilentAfter(), now) }
+func (b *Balancer) aliveBalancers(now time.Duration) []IP {
+	return b.balancersSeenWithin(b.peerTimeout(), now)
+}
 
 // balancersSeenWithin returns this balancer and those whose last status arrived within the
 // given time.
-func (b *Balancer) heardWithin(after, now time.Duration) []IP {
+func (b *Balancer) balancersSeenWithin(after, now time.Duration) []IP {
 	ips := []IP{b.Self}
 	for ip, p := range b.peers {
-		if p.heard != 0 && now-p.heard < after {
+		if p.lastSeen != 0 && now-p.lastSeen < after {
 			ips = append(ips, ip)
 		}
 	}
 	return ips
 }
 
-func (b *Balancer) hearAgent(from IP, p []byte, now time.Duration) {
+func (b *Balancer) handleAgentStatus(from IP, p []byte, now time.Duration) {
 	var s AgentStatus
 	ips, ok := s.decodeWithHomes(p)
 	if !ok {
 		b.Count.BadMessages++
 		return
 	}
-	suspected := b.agents.suspects(from)
-	restarted, changed := b.agents.hear(from, s, now)
+	suspected := b.agents.isSuspected(from)
+	restarted, changed := b.agents.applyStatus(from, s, now)
 	switch a := b.agents.byIP[from]; {
 	case suspected && a.suspicion.since == 0:
 		b.Log.agentChanged(a, "lifted", now)
 	case changed:
 		b.Log.agentChanged(a, "", now)
 	}
-	if a := b.agents.byIP[from]; restarted && (s.Epoch == 0 || a.toldStatus == 0) {
-		b.tellOne(from, now) // it has not received a status of this balancer
+	if a := b.agents.byIP[from]; restarted && (s.Epoch == 0 || a.statusSent == 0) {
+		b.sendStatusTo(from, now) // it has not received a status of this balancer
 	}
 	if a := b.agents.byIP[from]; a != nil && a.status.Life == s.Life && a.status.Sequence == s.Sequence {
 		if len(ips) > 0 {
 			a.homes = newHomeSet(ips)
 		}
 		b.checkEntries(from, &a.status, now)
-		b.introduce(from, s.Homes, &a.differs, now)
+		b.resolveMismatch(from, s.Homes, &a.mismatch, now)
 	}
 }
 
-func (b *Balancer) hearBalancer(from IP, m []byte, now time.Duration) {
+func (b *Balancer) handleBalancerStatus(from IP, m []byte, now time.Duration) {
 	var s BalancerStatus
 	if !s.decode(m) {
 		b.Count.BadMessages++
 		return
 	}
-	b.meet(from, now)
+	b.discoverPeer(from, now)
 	p := b.peers[from]
 	p.detached = s.Detached
-	if p.heard = now; p.life != s.Life {
+	if p.lastSeen = now; p.life != s.Life {
 		p.life = s.Life
-		b.tellOne(from, now) // it has just started and knows few processes
+		b.sendStatusTo(from, now) // it has just started and knows few processes
 		b.updateHomes(now)
 	}
 	for _, ip := range s.Balancers {
-		if b.meet(ip, now) {
-			b.tellOne(ip, now)
+		if b.discoverPeer(ip, now) {
+			b.sendStatusTo(ip, now)
 		}
 	}
-	b.introduce(from, s.Homes, &p.differs, now)
+	b.resolveMismatch(from, s.Homes, &p.mismatch, now)
 	b.SetZonesOut(s.Zones, s.Revision, now)
-	if s.Version > b.Configured() && b.Behind != nil {
-		b.Behind(from, s.Version)
+	if s.Version > b.ConfigurationVersion() && b.OnNewerConfiguration != nil {
+		b.OnNewerConfiguration(from, s.Version)
 	}
 }
 
 // homesMismatch records since when another process uses a home set that differs from this
 // balancer's, and when it was last sent a status for that reason.
-type difference struct{ since, told time.Duration }
+type homesMismatch struct{ since, lastSent time.Duration }
 
 // mismatchDelay gives processes that start together the time to learn of each other on
 // their own. Statuses that are sent because of a mismatch are at least mismatchInterval
 // apart, and mismatchIntervalPerAgent more for each agent, which limits them in a large
 // fleet.
 const (
-	introduceAfter = time.Second
-	introduceEvery = 250 * time.Millisecond
-	introduceEach  = time.Millisecond
+	mismatchDelay            = time.Second
+	mismatchInterval         = 250 * time.Millisecond
+	mismatchIntervalPerAgent = time.Millisecond
 )
 
 // resolveMismatch sends a process the known balancers if its home set has differed from
 // this balancer's for longer than mismatchDelay, because an earlier status to it was
 // probably lost.
-func (b *Balancer) introduce(to IP, homes uint64, d *difference, now time.Duration) {
+func (b *Balancer) resolveMismatch(to IP, homes uint64, d *homesMismatch, now time.Duration) {
 	if homes == b.homes.digest {
-		*d = difference{}
+		*d = homesMismatch{}
 		return
 	}
 	if d.since == 0 {
 		d.since = now
 	}
-	interval := introduceEvery + time.Duration(len(b.agents.byIP))*introduceEach
-	if now-d.since >= introduceAfter && (d.told == 0 || now-d.told >= interval) {
-		d.told = now
-		b.tellOne(to, now)
+	interval := mismatchInterval + time.Duration(len(b.agents.byIP))*mismatchIntervalPerAgent
+	if now-d.since >= mismatchDelay && (d.lastSent == 0 || now-d.lastSent >= interval) {
+		d.lastSent = now
+		b.sendStatusTo(to, now)
 	}
 }
 
 // discoverPeer adds a balancer and reports whether it was unknown.
-func (b *Balancer) meet(ip IP, now time.Duration) bool {
+func (b *Balancer) discoverPeer(ip IP, now time.Duration) bool {
 	if _, known := b.peers[ip]; known || ip == b.Self || ip == 0 {
 		return false
 	}
-	b.peers[ip] = &peerView{noted: now}
+	b.peers[ip] = &peerView{discovered: now}
 	return true
 }
 
@@ -170,41 +172,41 @@
 //
 // Otherwise the records of dead VMs would stay forever, and after a power loss each of them
 // delays the resets of flows that are gone.
-func (b *Balancer) Reap(ms []Member, now time.Duration) []IP {
-	if now < reapAfter {
+func (b *Balancer) MembersToRemove(ms []Member, now time.Duration) []IP {
+	if now < deadMemberTimeout {
 		return nil
 	}
-	alive := b.heard(now)
+	alive := b.aliveBalancers(now)
 	var dead []IP
 	for _, m := range ms {
-		if b.dead(m, now) && nearest(uint64(m.IP), slices.Clone(alive), 1)[0] == b.Self {
+		if b.isDead(m, now) && highestRanked(uint64(m.IP), slices.Clone(alive), 1)[0] == b.Self {
 			dead = append(dead, m.IP)
 		}
 	}
 	return dead
 }
 
-func (b *Balancer) dead(m Member, now time.Duration) bool {
+func (b *Balancer) isDead(m Member, now time.Duration) bool {
 	if m.IP == b.Self {
 		return false
 	}
 	if !m.Agent {
 		p := b.peers[m.IP]
-		return p != nil && now-p.lastSign() > reapAfter+silentStatuses*farEvery(len(b.peers))
+		return p != nil && now-p.lastActivity() > deadMemberTimeout+maxMissedStatuses*farInterval(len(b.peers))
 	}
 	a := b.agents.byIP[m.IP]
-	return a != nil && !a.reachable(now) && now-max(a.noted, a.heard, a.suspicion.since) > reapAfter
+	return a != nil && !a.reachable(now) && now-max(a.discovered, a.lastSeen, a.suspicion.since) > deadMemberTimeout
 }
 
 // deadMemberTimeout is how long a member must be silent before its record is removed. It is
 // longer than a VM takes to return. A member that is alive writes its record again when it
 // starts.
-const reapAfter = 10 * time.Second
+const deadMemberTimeout = 10 * time.Second
 
-func (b *Balancer) forgetPeers(now time.Duration) {
-	after := max(forgottenAfter, silentStatuses*farEvery(len(b.peers)))
+func (b *Balancer) expirePeers(now time.Duration) {
+	after := max(expiryTime, maxMissedStatuses*farInterval(len(b.peers)))
 	for ip, p := range b.peers {
-		if now-p.lastSign() > after {
+		if now-p.lastActivity() > after {
 			delete(b.peers, ip)
 		}
 	}
@@ -212,68 +214,68 @@
 
 // SendStatusToPeers sends the balancer's status to the other balancers when it has obtained
 // its first configuration.
-func (b *Balancer) Tell(now time.Duration) {
-	m := b.statusMessage(shownSome)
+func (b *Balancer) SendStatusToPeers(now time.Duration) {
+	m := b.statusMessage(peersPerStatus)
 	for ip, p := range b.peers {
-		p.told = now
+		p.lastSent = now
 		b.Out.ToProcess(ip, m)
 	}
 }
 
 // sendStatusToNew sends the status to every process that has not been sent one, and again
 // to those that have sent none themselves, because they may have started since.
-func (b *Balancer) tellNew(now time.Duration) {
+func (b *Balancer) sendStatusToNew(now time.Duration) {
 	due := func(lastSeen, discovered, lastSent time.Duration) bool {
-		return lastSent == 0 || lastSeen == 0 && now-discovered < unheardTold && now-lastSent >= StatusEvery
+		return lastSent == 0 || lastSeen == 0 && now-discovered < newMemberPeriod && now-lastSent >= StatusInterval
 	}
 	for ip, a := range b.agents.byIP {
-		if due(a.heard, a.noted, a.toldStatus) {
-			b.tellOne(ip, now)
+		if due(a.lastSeen, a.discovered, a.statusSent) {
+			b.sendStatusTo(ip, now)
 		}
 	}
 	for ip, p := range b.peers {
-		if due(p.heard, p.noted, p.told) {
-			b.tellOne(ip, now)
+		if due(p.lastSeen, p.discovered, p.lastSent) {
+			b.sendStatusTo(ip, now)
 		}
 	}
 }
 
 // newMemberPeriod is how long sendStatusToNew keeps sending to a process that has sent no
 // status. It is longer than VMs take to return one after another.
-const unheardTold = 3 * time.Second
+const newMemberPeriod = 3 * time.Second
 
 // broadcastStatus sends the balancer's status to all known processes after a change.
-func (b *Balancer) tell(now time.Duration) { b.tellThose(now, 0, 0) }
+func (b *Balancer) broadcastStatus(now time.Duration) { b.sendDueStatuses(now, 0, 0) }
 
 // sendPeriodicStatus sends the status to the near processes and to the far ones that are
 // due.
-func (b *Balancer) tellDue(now time.Duration) {
-	b.tellThose(now, nearEvery(len(b.agents.byIP), len(b.peers)+1), farEvery(len(b.peers)+1))
+func (b *Balancer) sendPeriodicStatus(now time.Duration) {
+	b.sendDueStatuses(now, nearInterval(len(b.agents.byIP), len(b.peers)+1), farInterval(len(b.peers)+1))
 }
 
 // sendDueStatuses sends the status to each process whose last status is older than
 // nearAfter or farAfter, depending on whether the process is near.
-func (b *Balancer) tellThose(now, nearAfter, farAfter time.Duration) {
-	b.status = now
-	m := b.statusMessage(shownSome)
+func (b *Balancer) sendDueStatuses(now, nearAfter, farAfter time.Duration) {
+	b.lastStatus = now
+	m := b.statusMessage(peersPerStatus)
 	for ip, a := range b.agents.byIP {
 		after := farAfter
 		if a.near() {
 			after = nearAfter
 		}
-		if now-a.toldStatus >= after {
-			a.toldStatus = now
+		if now-a.statusSent >= after {
+			a.statusSent = now
 			b.Out.ToProcess(ip, m)
 		}
 	}
-	nearby := nearest(uint64(b.Self), slices.Collect(maps.Keys(b.peers)), nearPeerCount(len(b.peers)))
+	nearby := highestRanked(uint64(b.Self), slices.Collect(maps.Keys(b.peers)), nearPeerCount(len(b.peers)))
 	for ip, p := range b.peers {
 		after := farAfter
 		if contains(nearby, ip) {
 			after = nearAfter
 		}
-		if now-p.told >= after {
-			p.told = now
+		if now-p.lastSent >= after {
+			p.lastSent = now
 			b.Out.ToProcess(ip, m)
 		}
 	}
@@ -281,28 +283,28 @@
 
 // peersPerStatus is the number of balancers that each status lists, in rotation. A status
 // to a new process lists as many as fit.
-const shownSome = 4
+const peersPerStatus = 4
 
 // sendStatusTo sends the status to one process, with as many balancers as fit.
-func (b *Balancer) tellOne(ip IP, now time.Duration) {
+func (b *Balancer) sendStatusTo(ip IP, now time.Duration) {
 	if a := b.agents.byIP[ip]; a != nil {
-		a.toldStatus = now
+		a.statusSent = now
 	}
 	if p := b.peers[ip]; p != nil {
-		p.told = now
+		p.lastSent = now
 	}
-	b.Out.ToProcess(ip, b.statusMessage(balancersMost))
+	b.Out.ToProcess(ip, b.statusMessage(maxBalancers))
 }
 
 func (b *Balancer) statusMessage(maxPeers int) []byte {
 	s := BalancerStatus{
-		Life: b.Life, Version: b.Configured(), Revision: b.revision, Leaving: b.leaving, Detached: b.Detached,
+		Life: b.Life, Version: b.ConfigurationVersion(), Revision: b.revision, Leaving: b.leaving, Detached: b.Detached,
 		Agents: uint16(min(len(b.agents.byIP), math.MaxUint16)), Homes: b.homes.digest,
 	}
-	for z := range b.out {
+	for z := range b.zonesOut {
 		s.Zones = append(s.Zones, z)
 	}
-	s.Balancers = b.some(maxPeers)
+	s.Balancers = b.nextPeers(maxPeers)
 	m := s.append(b.scratch[:HeaderLen])
 	h := Message{Kind: KindBalancer}
 	h.Put(m, b.Keys[0])
@@ -310,13 +312,13 @@
 }
 
 // nextPeers returns up to n of the known balancers, in rotation over successive calls.
-func (b *Balancer) some(n int) []IP {
+func (b *Balancer) nextPeers(n int) []IP {
 	ips := slices.Sorted(maps.Keys(b.peers))
 	if len(ips) <= n {
 		return ips
 	}
-	at := b.shown % len(ips)
-	b.shown += n
+	at := b.peerCursor % len(ips)
+	b.peerCursor += n
 	ips = append(ips[at:], ips[:at]...)
 	return ips[:n]
 }
--- a/datagram/placement.go
+++ b/datagram/placement.go
@@ -19,7 +19,7 @@
 const (
 	// PlaceByTwoChoices takes the less loaded of the two agents that the hash ranks
 	// highest.
-	PlaceIdler Placement = iota
+	PlaceByTwoChoices Placement = iota
 	// PlaceByHash takes the agent that the hash ranks highest. It exists for comparison.
 	PlaceByHash
 )
@@ -31,19 +31,19 @@
 // Agents in tried, and agents that would decline an opening of the priority, are left out.
 // busy is true if there is an agent of the latter kind.
 func (x *agents) choose(hash uint64, s ServiceKey, tried []IP, p Priority, now time.Duration) (_ *agentView, _ class, busy bool) {
-	var all, near pair
-	best := classNever
+	var all, near topTwo
+	best := classExcluded
 	for _, a := range x.byService[s] {
-		c := a.class(now, x.out)
-		if a.busy(p, now) {
+		c := a.class(now, x.zonesOut)
+		if a.wouldDecline(p, now) {
 			busy = busy || c < classDoubted
 			continue
 		}
-		if c > best || c == classNever || contains(tried, a.ip) {
+		if c > best || c == classExcluded || contains(tried, a.ip) {
 			continue
 		}
 		if c < best {
-			best, all, near = c, pair{}, pair{}
+			best, all, near = c, topTwo{}, topTwo{}
 		}
 		r := ranked{a, fleet.Mix(hash, a.key)}
 		all.add(r)
@@ -58,17 +58,17 @@
 	if x.placement == PlaceByHash {
 		return all.first.agent, best, busy
 	}
-	a, n := all.idler(), near.idler()
-	if n != nil && n.nearEnough(a) {
+	a, n := all.lessLoaded(), near.lessLoaded()
+	if n != nil && n.isPreferred(a) {
 		return n, best, busy
 	}
 	return a, best, busy
 }
 
 // topTwo holds the two agents that a hash ranks highest.
-type pair struct{ first, second ranked }
+type topTwo struct{ first, second ranked }
 
-func (p *pair) add(r ranked) {
+func (p *topTwo) add(r ranked) {
 	switch {
 	case p.first.agent == nil || r.score > p.first.score:
 		p.first, p.second = r, p.first
@@ -78,7 +78,7 @@
 }
 
 // lessLoaded returns the less loaded of the two.
-func (p *pair) idler() *agentView {
+func (p *topTwo) lessLoaded() *agentView {
 	if p.second.agent != nil && p.second.agent.load() < p.first.agent.load() {
 		return p.second.agent
 	}
--- a/datagram/registrar.go
+++ b/datagram/registrar.go
@@ -14,50 +14,50 @@
 const (
 	// refreshInterval is the time after which an agent registers a flow again, because
 	// homes drop entries that are not repeated.
-	refreshEvery = 4 * time.Minute
+	refreshInterval = 4 * time.Minute
 	// homesUpdateDelay combines balancers that start together into one change of the home
 	// set.
-	homesGather = 20 * time.Millisecond
+	homesUpdateDelay = 20 * time.Millisecond
 	// homesSendDelay, plus homesSendDelayPerAgent for each agent, combines several changes
 	// of the home set before the last one is sent to all balancers. Each change restarts
 	// the delay, but the sending is put off for at most maxPostponements delays in total.
 	// Added balancers are sent the set at once. All are sent it homesSendCount times,
 	// because datagrams can be lost.
-	homesDelay     = 500 * time.Millisecond
-	homesDelayEach = 200 * time.Microsecond
-	homesDelays    = 2
-	homesTells     = 2
+	homesSendDelay         = 500 * time.Millisecond
+	homesSendDelayPerAgent = 200 * time.Microsecond
+	maxPostponements       = 2
+	homesSendCount         = 2
 	// maxHomesListed limits the size of home sets that are listed in statuses while they
 	// change.
-	homesListed = 64
+	maxHomesListed = 64
 	// previousHomesLifetime is how long flows are also registered at the homes of an
 	// earlier set. Balancers may assume that the earlier set is still in use, until all
 	// have received a later one.
-	formerFor = 4 * time.Second
+	previousHomesLifetime = 4 * time.Second
 	// maxPreviousHomes is the largest number of earlier sets that can arise in that time.
-	formerMost = int(formerFor / homesGather)
+	maxPreviousHomes = int(previousHomesLifetime / homesUpdateDelay)
 )
 
 // previousHomeSet is a home set that was in use until recently.
-type formerHomes struct {
+type previousHomeSet struct {
 	homeSet
-	till time.Duration
+	expires time.Duration
 }
 
 // needsRegistration reports whether the flow must be in the directories of its homes.
-func (a *Agent) held(f *flowState) bool {
-	return f.phase >= flowAccepted && !f.finished && a.isPresent(f.born)
+func (a *Agent) needsRegistration(f *flowState) bool {
+	return f.phase >= flowAccepted && !f.finished && a.isCurrentLife(f.born)
 }
 
 // isCurrentLife reports whether a flow that was opened in the given life of the upstream
 // (0: unknown) may belong to the current life.
-func (a *Agent) isPresent(born int64) bool { return born == 0 || born == a.upstream.born }
+func (a *Agent) isCurrentLife(born int64) bool { return born == 0 || born == a.upstream.born }
 
 // register registers the flow at its homes.
 func (a *Agent) register(k Flow, f *flowState, now time.Duration) {
 	f.registered = now
 	for _, ip := range a.homesOf(k) {
-		a.enter(ip, []Flow{k})
+		a.sendEntries(ip, []Flow{k})
 	}
 }
 
@@ -72,14 +72,14 @@
 		}
 	}
 	add(a.homes.of(k))
-	for i := range a.former {
-		add(a.former[i].of(k))
+	for i := range a.previousHomes {
+		add(a.previousHomes[i].of(k))
 	}
 	return ips
 }
 
 // sendEntries registers flows at a home.
-func (a *Agent) enter(ip IP, ks []Flow) {
+func (a *Agent) sendEntries(ip IP, ks []Flow) {
 	v := a.balancers[ip]
 	if v == nil {
 		return
@@ -99,7 +99,7 @@
 
 // resendEntries starts a new epoch for a home and registers again all flows that have this
 // home.
-func (a *Agent) enterAgain(ip IP) {
+func (a *Agent) resendEntries(ip IP) {
 	v := a.balancers[ip]
 	if v == nil {
 		return
@@ -107,21 +107,21 @@
 	v.epoch, v.entries = v.epoch+1, 0
 	var ks []Flow
 	for k, f := range a.flows.all() {
-		if a.held(f) && slices.Contains(a.homesOf(k), ip) {
+		if a.needsRegistration(f) && slices.Contains(a.homesOf(k), ip) {
 			ks = append(ks, k)
 		}
 	}
-	a.enter(ip, ks)
+	a.sendEntries(ip, ks)
 }
 
 // updateHomes recomputes the home set and registers flows at the balancers that have become
 // their homes.
 func (a *Agent) updateHomes(now time.Duration) {
-	a.homesDue = 0
+	a.homesUpdateAt = 0
 	var ips []IP
 	after := homeSilentAfter(len(a.balancers))
 	for ip, v := range a.balancers {
-		if v.life != 0 && now-v.heard < after {
+		if v.life != 0 && now-v.lastSeen < after {
 			ips = append(ips, ip)
 		}
 	}
@@ -129,11 +129,11 @@
 	if a.homes = newHomeSet(ips); a.homes.equal(&old) {
 		return
 	}
-	a.former = append(a.former[max(0, len(a.former)+1-formerMost):], formerHomes{old, now + formerFor})
-	a.tellHomes(now)
+	a.previousHomes = append(a.previousHomes[max(0, len(a.previousHomes)+1-maxPreviousHomes):], previousHomeSet{old, now + previousHomesLifetime})
+	a.scheduleHomesStatus(now)
 	moved := map[IP][]Flow{}
 	for k, f := range a.flows.all() {
-		if !a.held(f) {
+		if !a.needsRegistration(f) {
 			continue
 		}
 		before := old.of(k)
@@ -144,32 +144,32 @@
 		}
 	}
 	for _, ip := range a.homes.ips {
-		a.enter(ip, moved[ip])
+		a.sendEntries(ip, moved[ip])
 		if !slices.Contains(old.ips, ip) {
-			a.greet(ip, now)
+			a.sendInitialStatus(ip, now)
 		}
 	}
 }
 
 // scheduleHomesStatus schedules the statuses that send a new home set to all balancers.
-func (a *Agent) tellHomes(now time.Duration) {
-	delay := homesDelay + time.Duration(a.agents)*homesDelayEach
-	if a.homesTell == 0 {
-		a.homesLast = now + homesDelays*delay
+func (a *Agent) scheduleHomesStatus(now time.Duration) {
+	delay := homesSendDelay + time.Duration(a.agentCount)*homesSendDelayPerAgent
+	if a.homesSendAt == 0 {
+		a.homesSendDeadline = now + maxPostponements*delay
 	}
-	a.homesTell, a.homesTells = min(now+delay, a.homesLast), homesTells
+	a.homesSendAt, a.homesSendsLeft = min(now+delay, a.homesSendDeadline), homesSendCount
 }
 
 // expirePreviousHomes drops the earlier sets that no balancer assumes to be in use any
 // more.
-func (a *Agent) forgetFormer(now time.Duration) {
-	a.former = slices.DeleteFunc(a.former, func(f formerHomes) bool { return now > f.till })
+func (a *Agent) expirePreviousHomes(now time.Duration) {
+	a.previousHomes = slices.DeleteFunc(a.previousHomes, func(f previousHomeSet) bool { return now > f.expires })
 }
 
 // refreshEntries registers flows again whose last registration is long ago.
-func (a *Agent) refresh(now time.Duration) {
+func (a *Agent) refreshEntries(now time.Duration) {
 	for k, f := range a.flows.all() {
-		if now-f.registered >= refreshEvery && a.held(f) {
+		if now-f.registered >= refreshInterval && a.needsRegistration(f) {
 			a.register(k, f, now)
 		}
 	}
--- a/datagram/silence_test.go
+++ b/datagram/silence_test.go
@@ -10,7 +10,7 @@
 
 // intervalRecorder records when an agent last sent its status to each balancer, and the
 // interval that it announced there for the next one.
-type promises struct {
+type intervalRecorder struct {
 	keys  link.Keys
 	now   time.Duration
 	last  map[IP]time.Duration
@@ -18,7 +18,7 @@
 	late  time.Duration // largest delay of a status beyond the announced interval
 }
 
-func (o *promises) ToProcess(to IP, m []byte) {
+func (o *intervalRecorder) ToProcess(to IP, m []byte) {
 	var h Message
 	p, _ := h.Get(m, o.keys)
 	var s AgentStatus
@@ -28,27 +28,27 @@
 	if e := o.every[to]; e != 0 {
 		o.late = max(o.late, o.now-o.last[to]-e)
 	}
-	o.last[to], o.every[to] = o.now, s.Every.Duration()
+	o.last[to], o.every[to] = o.now, s.Interval.Duration()
 }
 
 // countNear returns the number of balancers that expect short status intervals.
-func (o *promises) often() (n int) {
+func (o *intervalRecorder) countNear() (n int) {
 	for _, e := range o.every {
-		if e <= LargeEvery {
+		if e <= LargeFleetInterval {
 			n++
 		}
 	}
 	return n
 }
 
-func (*promises) ToCaller(IP, []byte) {}
+func (*intervalRecorder) ToCaller(IP, []byte) {}
 
-func (*promises) ToUpstream([]byte) {}
+func (*intervalRecorder) ToUpstream([]byte) {}
 
 // Guards against balancers that suspect an agent because it sends its status later than it
 // announced. This could happen when other balancers became near it, or when the size of the
 // fleet changed.
-func TestNextStatusComesWhenItWasPromised(t *testing.T) {
+func TestStatusIsSentWithinAnnouncedInterval(t *testing.T) {
 	for name, change := range map[string]func(n int, hear func(ip IP, life Life, agents uint16)){
 		"no change": func(int, func(IP, Life, uint16)) {},
 		"a balancer restarts and knows few agents": func(n int, hear func(IP, Life, uint16)) {
@@ -61,7 +61,7 @@
 		"agents are removed":  func(n int, hear func(IP, Life, uint16)) { hear(101, 101, uint16(max(1, 60-4*n))) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, o, hear := promisingAgent(t)
+			a, o, hear := newRecordedAgent(t)
 			for n := range 20 {
 				for ip := IP(101); ip <= 123; ip++ {
 					hear(ip, Life(ip), 60)
@@ -71,7 +71,7 @@
 					a.Tick(o.now)
 				}
 			}
-			if o.late > StatusEvery {
+			if o.late > StatusInterval {
 				t.Errorf("a status was sent %v later than announced", o.late)
 			}
 		})
@@ -80,9 +80,9 @@
 
 // newRecordedAgent returns an agent, the recorder of its statuses, and a function that lets
 // it receive a status from a balancer.
-func promisingAgent(t *testing.T) (a *Agent, o *promises, hear func(ip IP, life Life, agents uint16)) {
-	o = &promises{keys: testKeys(t), last: map[IP]time.Duration{}, every: map[IP]time.Duration{}}
-	a = &Agent{Life: 60, Service: 7, Format: plain{}, Out: o, Keys: o.keys}
+func newRecordedAgent(t *testing.T) (a *Agent, o *intervalRecorder, hear func(ip IP, life Life, agents uint16)) {
+	o = &intervalRecorder{keys: testKeys(t), last: map[IP]time.Duration{}, every: map[IP]time.Duration{}}
+	a = &Agent{Life: 60, Service: 7, Format: plainFormat{}, Out: o, Keys: o.keys}
 	a.Start()
 	return a, o, func(ip IP, life Life, agents uint16) {
 		m := (&BalancerStatus{Life: life, Agents: agents}).append(make([]byte, HeaderLen))
@@ -94,8 +94,8 @@
 
 // Guards against agents that send their status often to the whole fleet, because a balancer
 // that has just started reports few agents.
-func TestBalancerThatKnowsFewAgentsMakesNoFleetSmall(t *testing.T) {
-	a, o, hear := promisingAgent(t)
+func TestRestartedBalancerDoesNotShrinkFleet(t *testing.T) {
+	a, o, hear := newRecordedAgent(t)
 	for o.now < 5*time.Second {
 		for ip := IP(101); ip <= 123; ip++ {
 			hear(ip, Life(ip), 60)
@@ -105,12 +105,12 @@
 			a.Tick(o.now)
 		}
 	}
-	want := o.often()
+	want := o.countNear()
 	hear(105, 1000, 2)
 	for range 20 {
 		o.now += 50 * time.Millisecond
 		a.Tick(o.now)
-		if n := o.often(); n > want+1 { // the balancer that has started is sent an initial status
+		if n := o.countNear(); n > want+1 { // the balancer that has started is sent an initial status
 			t.Fatalf("%d balancers expect statuses often, %d before the restart", n, want)
 		}
 	}
@@ -119,14 +119,14 @@
 // Guards against the reset of flows whose agent is alive but was reported silent by another
 // balancer. An agent that answers is alive, and one that has not been verified may be
 // alive.
-func TestSilentAgentIsAskedBeforeItIsHeldForGone(t *testing.T) {
+func TestSilentAgentIsVerifiedBeforeItIsConsideredGone(t *testing.T) {
 	for name, x := range map[string]struct {
 		harm    func(b *Balancer, now time.Duration)
 		answers bool
 		gone    bool
 	}{
-		"reported silent, answers": {func(b *Balancer, now time.Duration) { tellSilent(b, 1, now) }, true, false},
-		"reported silent, gone":    {func(b *Balancer, now time.Duration) { tellSilent(b, 1, now) }, false, true},
+		"reported silent, answers": {func(b *Balancer, now time.Duration) { reportAgentSilent(b, 1, now) }, true, false},
+		"reported silent, gone":    {func(b *Balancer, now time.Duration) { reportAgentSilent(b, 1, now) }, false, true},
 		"silent, answers":          {func(*Balancer, time.Duration) {}, true, false},
 		"silent, gone":             {func(*Balancer, time.Duration) {}, false, true},
 	} {
@@ -134,12 +134,12 @@
 			now := 10 * time.Second
 			b, s := testBalancer(t, 3, now)
 			a := b.agents.byIP[1]
-			a.status.Every = MillisOf(farLeast)
+			a.status.Interval = MillisOf(minFarInterval)
 			x.harm(b, now)
-			for end := now + 3*farLeast; now < end; now += 10 * time.Millisecond {
+			for end := now + 3*minFarInterval; now < end; now += 10 * time.Millisecond {
 				for ip, other := range b.agents.byIP {
 					if ip != 1 {
-						other.heard = now
+						other.lastSeen = now
 					}
 				}
 				before := len(s.verified)
@@ -147,13 +147,13 @@
 				if slices.Contains(s.verified[before:], 1) && x.answers {
 					status := a.status
 					status.Sequence++
-					b.agents.hear(1, status, now)
+					b.agents.applyStatus(1, status, now)
 				}
-				if x.answers && !a.mayHold(now) {
+				if x.answers && !a.mayHoldFlows(now) {
 					t.Fatalf("agent is considered gone after %v although it answers", now-10*time.Second)
 				}
 			}
-			if a.mayHold(now) == x.gone {
+			if a.mayHoldFlows(now) == x.gone {
 				t.Errorf("agent may hold flows: want %t", !x.gone)
 			}
 		})
@@ -162,17 +162,17 @@
 
 // Guards against a home that was cut off for a moment and considers its directory complete,
 // although entries of agents that send statuses seldom may have been lost meanwhile.
-func TestHomeHearsAgentsAnewAfterACut(t *testing.T) {
+func TestHomeVerifiesFarAgentsAfterIsolation(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 4, now)
 	speak := func(ip IP, every time.Duration) {
 		status := b.agents.byIP[ip].status
-		status.Sequence, status.Every = status.Sequence+1, MillisOf(every)
-		b.agents.hear(ip, status, now)
+		status.Sequence, status.Interval = status.Sequence+1, MillisOf(every)
+		b.agents.applyStatus(ip, status, now)
 	}
 	speakAll := func() {
 		for ip := IP(1); ip <= 3; ip++ {
-			speak(ip, LargeEvery)
+			speak(ip, LargeFleetInterval)
 		}
 	}
 	speakAll()
@@ -186,7 +186,7 @@
 	}
 	now += time.Millisecond
 	speakAll()
-	now += StatusEvery
+	now += StatusInterval
 	b.Tick(now)
 	if b.coverage(now).ok || !slices.Equal(s.verified, []IP{4}) {
 		t.Errorf("directory complete: %t, want false; verified agents %v, want only 4, which sends seldom", b.coverage(now).ok, s.verified)
@@ -200,7 +200,7 @@
 
 // Guards against the reset of flows that are alive by a balancer that has just been cut
 // off, based on the answers of homes that were cut off with it.
-func TestBalancerThatHearsNoAgentResetsNothing(t *testing.T) {
+func TestIsolatedBalancerResetsNothing(t *testing.T) {
 	for name, x := range map[string]struct {
 		answers bool
 		resets  int
@@ -227,17 +227,17 @@
 }
 
 // reportAgentSilent lets the balancer receive a report that the agent is silent.
-func tellSilent(b *Balancer, ip IP, now time.Duration) {
-	p := make([]byte, silentLen)
+func reportAgentSilent(b *Balancer, ip IP, now time.Duration) {
+	p := make([]byte, silentMessageLen)
 	p[3], p[11] = byte(ip), byte(b.agents.byIP[ip].status.Life)
-	b.hearSilent(p, now)
+	b.handleSilent(p, now)
 }
 
 // Guards against an agent that denies flows of a running upstream that has not announced
 // itself since the agent started.
 func TestUpstreamThatListensMayHoldFlows(t *testing.T) {
 	for name, x := range map[string]struct {
-		probe Probe
+		probe ProbeResult
 		want  bool
 	}{
 		"connection accepted": {ProbeAccepted, false},
@@ -245,20 +245,20 @@
 		"no answer":           {ProbeUnanswered, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := &Agent{Service: 7, Format: plain{}, Out: newSent(t), Keys: testKeys(t), Probe: func() {}}
+			a := &Agent{Service: 7, Format: plainFormat{}, Out: newRecorder(t), Keys: testKeys(t), Probe: func() {}}
 			a.Start()
-			a.Meet(testSelf, 0)
+			a.AddBalancer(testSelf, 0)
 			a.Tick(time.Millisecond)
-			a.Probed(x.probe, 2*time.Millisecond)
+			a.HandleProbeResult(x.probe, 2*time.Millisecond)
 			now := announcedWithin + time.Second
 			if a.knowsAll(now) != x.want {
 				t.Errorf("agent claims to know all flows: %t", !x.want)
 			}
 			var s AgentStatus
-			m := a.statusMessage(a.balancers[testSelf], now, StatusEvery, false)
+			m := a.statusMessage(a.balancers[testSelf], now, StatusInterval, false)
 			var h Message
 			p, _ := h.Get(m, a.Keys)
-			if v := (agentView{heard: now}); !s.decode(p) || !v.hears(s, now) == !x.want {
+			if v := (agentView{lastSeen: now}); !s.decode(p) || !v.mayHoldFlowsAfter(s, now) == !x.want {
 				t.Errorf("balancer assumes that the agent holds no flows: %t", !x.want)
 			}
 		})
@@ -267,7 +267,7 @@
 
 // mayHoldFlowsAfter stores the status and reports whether the agent may hold flows
 // according to it.
-func (a *agentView) hears(s AgentStatus, now time.Duration) bool {
-	a.status, a.heard = s, now
-	return a.mayHold(now)
+func (a *agentView) mayHoldFlowsAfter(s AgentStatus, now time.Duration) bool {
+	a.status, a.lastSeen = s, now
+	return a.mayHoldFlows(now)
 }
--- a/datagram/status.go
+++ b/datagram/status.go
@@ -51,11 +51,11 @@
 	Slots   uint16
 	// Flows is the number of flows open at the upstream, UnderWay how many of them have a
 	// request in progress.
-	Flows    uint16
-	UnderWay uint16
-	Cold     Millis
+	Flows         uint16
+	UnderWay      uint16
+	ColdRemaining Millis
 	// Interval is the time within which the receiver is sent the next status.
-	Every Millis
+	Interval Millis
 	// Homes is the digest of the balancers among which the agent chooses homes.
 	Homes uint64
 	// Entries is the number of flows registered at the receiver since Epoch began; 0 if the
@@ -114,11 +114,11 @@
 
 // Limits of a BalancerStatus, so that it fits into one datagram.
 const (
-	zonesMost     = 32
-	balancersMost = 128
+	maxZones     = 32
+	maxBalancers = 128
 )
 
-type balancerHead struct {
+type balancerStatusHeader struct {
 	Life             Life
 	Version          Version
 	Revision         uint64
@@ -130,8 +130,8 @@
 }
 
 func (s *BalancerStatus) append(b []byte) []byte {
-	z, r := s.Zones[:min(len(s.Zones), zonesMost)], s.Balancers[:min(len(s.Balancers), balancersMost)]
-	h := balancerHead{s.Life, s.Version, s.Revision, s.Leaving, s.Detached, s.Agents, s.Homes, uint8(len(z)), uint8(len(r))}
+	z, r := s.Zones[:min(len(s.Zones), maxZones)], s.Balancers[:min(len(s.Balancers), maxBalancers)]
+	h := balancerStatusHeader{s.Life, s.Version, s.Revision, s.Leaving, s.Detached, s.Agents, s.Homes, uint8(len(z)), uint8(len(r))}
 	b, _ = binary.Append(b, binary.BigEndian, &h)
 	b, _ = binary.Append(b, binary.BigEndian, z)
 	b, _ = binary.Append(b, binary.BigEndian, r)
@@ -139,7 +139,7 @@
 }
 
 func (s *BalancerStatus) decode(b []byte) bool {
-	var h balancerHead
+	var h balancerStatusHeader
 	r := bytes.NewReader(b)
 	if binary.Read(r, binary.BigEndian, &h) != nil || r.Len() != int(h.Zones)*8+int(h.Balancers)*4 {
 		return false
--- a/datagram/suspicion.go
+++ b/datagram/suspicion.go
@@ -16,39 +16,39 @@
 const (
 	// verifyInterval is the time between verifications of a suspected agent until it is
 	// considered gone. After that the interval is minFarInterval.
-	askEvery = StatusEvery
+	verifyInterval = StatusInterval
 	// maxUnanswered is the number of verifications that an agent leaves unanswered before
 	// it is considered gone. Together they take longer than restarting a killed process.
-	asksUnanswered = 5
+	maxUnanswered = 5
 	// maxVerifiesPerTick limits the agents that are verified at a time, for the loss of an
 	// availability zone in a large fleet.
-	asksEach = 256
+	maxVerifiesPerTick = 256
 	// failureDetectionTime is the time within which near balancers consider an agent gone
 	// that has died.
-	goneAfter = silentStatuses*LargeEvery + silentDelay + (asksUnanswered+1)*askEvery
+	failureDetectionTime = maxMissedStatuses*LargeFleetInterval + deliveryMargin + (maxUnanswered+1)*verifyInterval
 )
 
 // suspicion is a balancer's assumption that an agent may have failed.
 type suspicion struct {
-	since time.Duration // when it began; 0: no suspicion
-	asks  int           // verifications since then that count
-	asked time.Duration // when the last one was sent; 0: never
+	since         time.Duration // when it began; 0: no suspicion
+	verifications int           // verifications since then that count
+	lastVerified  time.Duration // when the last one was sent; 0: never
 }
 
 // due reports whether the next verification is due. counts is true if it would count
 // towards maxUnanswered.
 func (s *suspicion) due(counts bool, now time.Duration) bool {
-	interval := askEvery
-	if !counts || s.asks >= asksUnanswered {
-		interval = farLeast
+	interval := verifyInterval
+	if !counts || s.verifications >= maxUnanswered {
+		interval = minFarInterval
 	}
-	return s.asked == 0 || now-s.asked >= interval
+	return s.lastVerified == 0 || now-s.lastVerified >= interval
 }
 
 // confirmed reports whether the agent has left enough verifications unanswered to be
 // considered gone.
 func (s *suspicion) confirmed(now time.Duration) bool {
-	return s.asks > asksUnanswered || s.asks == asksUnanswered && now-s.asked >= askEvery
+	return s.verifications > maxUnanswered || s.verifications == maxUnanswered && now-s.lastVerified >= verifyInterval
 }
 
 // suspect marks the agent as possibly failed.
@@ -59,8 +59,8 @@
 
 // handleSilent processes a report that an agent is silent, from a balancer near it. If this
 // balancer is near the agent too, its own observation takes precedence.
-func (b *Balancer) hearSilent(p []byte, now time.Duration) {
-	if len(p) != silentLen {
+func (b *Balancer) handleSilent(p []byte, now time.Duration) {
+	if len(p) != silentMessageLen {
 		b.Count.BadMessages++
 		return
 	}
@@ -68,29 +68,29 @@
 	if a == nil || a.status.Life != Life(binary.BigEndian.Uint64(p[4:])) || a.near() || a.suspicion.since != 0 {
 		return
 	}
-	b.suspect(a, "reported silent", now)
+	b.suspect(a, "told silent", now)
 	b.verify(a, now)
 }
 
-const silentLen = 4 + 8
+const silentMessageLen = 4 + 8
 
 // suspectSilent marks the agents that have become silent as suspected, and reports those
 // near this balancer to the other balancers.
 func (b *Balancer) suspectSilent(now time.Duration) {
 	for _, a := range b.agents.byIP {
-		if a.heard == 0 || a.suspicion.since != 0 || !a.silent(now) {
+		if a.lastSeen == 0 || a.suspicion.since != 0 || !a.silent(now) {
 			continue
 		}
 		b.suspect(a, "silent", now)
 		if a.near() {
-			b.sayIsSilent(a)
+			b.reportSilent(a)
 		}
 	}
 }
 
 // reportSilent reports to the other balancers that the agent is silent.
-func (b *Balancer) sayIsSilent(a *agentView) {
-	m := b.scratch[:HeaderLen+silentLen]
+func (b *Balancer) reportSilent(a *agentView) {
+	m := b.scratch[:HeaderLen+silentMessageLen]
 	binary.BigEndian.PutUint32(m[HeaderLen:], uint32(a.ip))
 	binary.BigEndian.PutUint64(m[HeaderLen+4:], uint64(a.status.Life))
 	h := Message{Kind: KindSilent}
@@ -104,18 +104,18 @@
 // isolated, it also verifies the agents that have sent nothing since, because the entries
 // that they sent meanwhile are lost.
 func (b *Balancer) verifySuspects(now time.Duration) {
-	left, counts := asksEach, !b.apart(now)
+	left, counts := maxVerifiesPerTick, !b.isolated(now)
 	if !counts {
-		b.apartAt = now
+		b.lastIsolated = now
 	}
 	for _, a := range b.agents.byIP {
 		suspected := a.suspicion.since != 0
 		wanted := suspected || counts && b.stale(a)
-		if left == 0 || !wanted || a.holdsNone() || !a.suspicion.due(counts, now) {
+		if left == 0 || !wanted || a.holdsNoFlows() || !a.suspicion.due(counts, now) {
 			continue
 		}
 		if suspected && counts {
-			a.suspicion.asks++
+			a.suspicion.verifications++
 		}
 		b.verify(a, now)
 		left--
@@ -123,41 +123,41 @@
 }
 
 // stale reports whether the agent has sent nothing since this balancer was isolated.
-func (b *Balancer) stale(a *agentView) bool { return a.heard != 0 && a.heard <= b.apartAt }
+func (b *Balancer) stale(a *agentView) bool { return a.lastSeen != 0 && a.lastSeen <= b.lastIsolated }
 
 // isolated reports whether this balancer is probably cut off: the statuses of more than
 // half of the agents near it are overdue, or it has lost more than half of the other
 // balancers. It is less likely that all of these have failed. Far agents are ignored
 // because their statuses are too rare.
-func (b *Balancer) apart(now time.Duration) bool {
+func (b *Balancer) isolated(now time.Duration) bool {
 	near, onTime := 0, 0
 	for _, a := range b.agents.byIP {
-		if !a.near() || a.holdsNone() {
+		if !a.near() || a.holdsNoFlows() {
 			continue
 		}
-		if near++; now-a.heard <= a.status.Every.Duration()+StatusEvery+silentDelay {
+		if near++; now-a.lastSeen <= a.status.Interval.Duration()+StatusInterval+deliveryMargin {
 			onTime++
 		}
 	}
-	return 2*onTime < near || b.lonely(now)
+	return 2*onTime < near || b.lostPeers(now)
 }
 
 // verify asks an agent to send all its flow entries again, which also proves that it is
 // alive.
 func (b *Balancer) verify(a *agentView, now time.Duration) {
-	a.suspicion.asked = now
+	a.suspicion.lastVerified = now
 	b.send(b.scratch[:HeaderLen], Message{Kind: KindResend}, a.ip)
 }
 
 // restartSuspicions discards the unanswered verifications of the time in which this process
 // was paused, because it read no answers.
-func (b *Balancer) suspectAnew(now time.Duration) {
+func (b *Balancer) restartSuspicions(now time.Duration) {
 	for _, a := range b.agents.byIP {
 		if a.suspicion.since != 0 {
 			a.suspicion = suspicion{since: now}
 		}
-		if a.heard == 0 {
-			a.noted = now
+		if a.lastSeen == 0 {
+			a.discovered = now
 		}
 	}
 }
--- a/datagram/upstream_test.go
+++ b/datagram/upstream_test.go
@@ -55,7 +55,7 @@
 			}
 		})
 	}
-	if (&Agent{}).knowsAll(flowLife+time.Second) != true {
+	if (&Agent{}).knowsAll(maxFlowLifetime+time.Second) != true {
 		t.Error("an agent older than any flow does not know all flows")
 	}
 }
@@ -94,7 +94,7 @@
 func TestFormerLifeOfAnAgentIsNotBelieved(t *testing.T) {
 	x := newAgents()
 	hear := func(life Life, seq uint32, up, now time.Duration, s UpstreamState) {
-		x.hear(1, AgentStatus{Life: life, Sequence: seq, Uptime: MillisOf(up), State: s}, now)
+		x.applyStatus(1, AgentStatus{Life: life, Sequence: seq, Uptime: MillisOf(up), State: s}, now)
 	}
 	hear(7, 1, time.Second, 10*time.Second, UpstreamReady)
 	hear(8, 1, 10*time.Millisecond, 12*time.Second, UpstreamDraining)
--- a/experiment/load_test.go
+++ b/experiment/load_test.go
@@ -30,8 +30,8 @@
 		return o
 	}
 	byHash := measure(datagram.PlaceByHash, -1)
-	byLoad := measure(datagram.PlaceIdler, -1)
-	gated := measure(datagram.PlaceIdler, 0)
+	byLoad := measure(datagram.PlaceByTwoChoices, -1)
+	gated := measure(datagram.PlaceByTwoChoices, 0)
 	t.Logf("by hash %+v, by load %+v, by load with agents that decline when busy %+v", byHash, byLoad, gated)
 	if gated.shed > 0 {
 		t.Errorf("upstreams shed %d requests, want none", gated.shed)
--- a/experiment/options.go
+++ b/experiment/options.go
@@ -55,9 +55,9 @@
 	case PolicyHash:
 		return datagram.PlaceByHash, neverBusy
 	case PolicyUngated:
-		return datagram.PlaceIdler, neverBusy
+		return datagram.PlaceByTwoChoices, neverBusy
 	}
-	return datagram.PlaceIdler, 0
+	return datagram.PlaceByTwoChoices, 0
 }
 
 const (
--- a/experiment/upstream.go
+++ b/experiment/upstream.go
@@ -68,7 +68,7 @@
 		u.w.after(50*time.Millisecond, func() { u.sendHeartbeat(born) })
 		return
 	}
-	u.vm.a.Announce(&datagram.Announcement{
+	u.vm.a.HandleAnnouncement(&datagram.Announcement{
 		ID: "i", Service: u.vm.service, Draining: u.draining, Slots: u.slots, Born: u.born, Sequence: u.sequence, Age: u.w.now - u.startedAt,
 	}, u.w.now-u.vm.startedAt)
 	if u.draining && u.drainAckedAt == 0 {
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -147,7 +147,7 @@
 		Services: map[datagram.ServiceKey]datagram.Service{routedServiceKey: {Name: routedService}},
 	}
 	if len(ss) > 0 {
-		c.Routes[routeAddress] = datagram.Route{Aim: routeTargetLatency, Shares: ss}
+		c.Routes[routeAddress] = datagram.Route{TargetLatency: routeTargetLatency, Shares: ss}
 	}
 	for _, s := range ss {
 		w.routedServices[s.Service] = true
@@ -448,7 +448,7 @@
 				if v.u.alive {
 					p = datagram.ProbeAccepted
 				}
-				v.a.Probed(p, w.now-v.startedAt)
+				v.a.HandleProbeResult(p, w.now-v.startedAt)
 			}
 		})
 	}
@@ -460,7 +460,7 @@
 		}
 	})
 	if b := w.balancersByAddress(); len(b) > 0 {
-		v.a.Meet(b[0].ip, 0) // it learns of the other balancers from this one
+		v.a.AddBalancer(b[0].ip, 0) // it learns of the other balancers from this one
 	}
 }
 
@@ -469,7 +469,7 @@
 
 // tick runs what is due at the agent and schedules the next tick.
 func (v *agentVM) tick() {
-	d := datagram.StatusEvery
+	d := datagram.StatusInterval
 	if v.up {
 		now := v.w.now - v.startedAt
 		d = min(d, max(time.Millisecond, v.a.Tick(now)-now))
--- a/node/agent.go
+++ b/node/agent.go
@@ -46,7 +46,7 @@
 	}
 	a.agent = &datagram.Agent{
 		Life: b.life, Service: datagram.ServiceKeyOf(b.settings.Service), Zone: datagram.ZoneKeyOf(b.settings.Zone),
-		Format: platform.Packets{}, Out: a, Keys: b.keys, Log: &datagram.Log{Log: b.log, Most: o.Lines}, Observe: b.observe, Evacuation: b.settings.Evacuation,
+		Format: platform.Packets{}, Out: a, Keys: b.keys, Log: &datagram.Log{Log: b.log, MaxLines: o.Lines}, Observe: b.observe, Evacuation: b.settings.Evacuation,
 	}
 	a.agent.Probe = func() { go a.probe() }
 	a.agent.OnDrain = func() {
@@ -84,7 +84,7 @@
 func (a *Agent) Announce(n *datagram.Announcement) bool {
 	n.Age = time.Since(time.UnixMilli(n.Born))
 	var ok bool
-	return a.loop.do(a.ctx, func(now time.Duration) { ok = a.agent.Announce(n, now) }) && ok
+	return a.loop.do(a.ctx, func(now time.Duration) { ok = a.agent.HandleAnnouncement(n, now) }) && ok
 }
 
 // Deregister records that the upstream with the ID is about to exit.
@@ -115,7 +115,7 @@
 	case errors.Is(err, syscall.ECONNREFUSED):
 		p = datagram.ProbeRefused
 	}
-	a.loop.do(a.ctx, func(now time.Duration) { a.agent.Probed(p, now) })
+	a.loop.do(a.ctx, func(now time.Duration) { a.agent.HandleProbeResult(p, now) })
 }
 
 // leaveDelay is the time between the agent's last status message and its exit, so that
@@ -167,7 +167,7 @@
 	a.store.updateAddress(s)
 	a.loop.do(a.ctx, func(now time.Duration) {
 		for _, x := range s.Seeds {
-			a.agent.Meet(datagram.IPOf(x.Addr()), now)
+			a.agent.AddBalancer(datagram.IPOf(x.Addr()), now)
 		}
 	})
 }
@@ -179,7 +179,7 @@
 		return nil
 	}
 	var s datagram.UpstreamState
-	if !a.loop.do(a.ctx, func(now time.Duration) { s = a.agent.State(); a.agent.Leave(now) }) {
+	if !a.loop.do(a.ctx, func(now time.Duration) { s = a.agent.UpstreamState(); a.agent.Leave(now) }) {
 		return nil
 	}
 	if s == datagram.UpstreamGone || s == datagram.UpstreamAbsent {
--- a/node/askpeers.go
+++ b/node/askpeers.go
@@ -33,7 +33,7 @@
 		var holder datagram.IP
 		var ips []datagram.IP
 		if !b.loop.do(b.ctx, func(time.Duration) {
-			have, want, holder, ips = b.balancer.Configured(), b.newestVersion, b.holder, b.balancer.Peers()
+			have, want, holder, ips = b.balancer.ConfigurationVersion(), b.newestVersion, b.holder, b.balancer.Peers()
 		}) {
 			return
 		}
--- a/node/balancer.go
+++ b/node/balancer.go
@@ -60,15 +60,15 @@
 	}
 	b.balancer = &datagram.Balancer{
 		Self: s.self(), Life: s.life, Zone: datagram.ZoneKeyOf(s.settings.Zone), Format: platform.Packets{}, Out: b, Keys: s.keys,
-		Log: &datagram.Log{Log: s.log, Most: o.Lines}, LookupRate: datagram.LookupRate(s.settings.Cores, s.settings.Bandwidth),
+		Log: &datagram.Log{Log: s.log, MaxLines: o.Lines}, LookupRate: datagram.LookupRate(s.settings.Cores, s.settings.Bandwidth),
 	}
 	b.balancer.Observe = s.observe
 	b.offers = make(chan datagram.IP, 1)
-	b.balancer.Behind = func(from datagram.IP, v datagram.Version) {
+	b.balancer.OnNewerConfiguration = func(from datagram.IP, v datagram.Version) {
 		if v >= b.newestVersion {
 			b.newestVersion, b.holder = v, from
 		}
-		if b.balancer.Configured() != 0 {
+		if b.balancer.ConfigurationVersion() != 0 {
 			return // the store delivers it; if that fails, syncWithPeers fetches it
 		}
 		select {
@@ -104,10 +104,10 @@
 func (b *Balancer) tick(now time.Duration) time.Duration {
 	at := b.balancer.Tick(now)
 	b.ready.Store(b.balancer.Ready())
-	if now-b.watcherCheckedAt >= datagram.StatusEvery {
+	if now-b.watcherCheckedAt >= datagram.StatusInterval {
 		// Not on each tick: Among sorts the balancers, which change only with status messages.
 		b.watcherCheckedAt, b.balancer.Detached = now, b.store.detached.Load()
-		b.store.usesShortWatches.Store(b.balancer.Among(shortWatcherCount, now))
+		b.store.usesShortWatches.Store(b.balancer.IsSelected(shortWatcherCount, now))
 	}
 	return at
 }
@@ -158,12 +158,12 @@
 		return
 	}
 	b.loop.do(b.ctx, func(now time.Duration) {
-		first := b.balancer.Configured() == 0
+		first := b.balancer.ConfigurationVersion() == 0
 		if !b.balancer.SetConfiguration(c) {
 			return
 		}
 		if first {
-			b.balancer.Tell(now) // balancers without a configuration can fetch it from this one
+			b.balancer.SendStatusToPeers(now) // balancers without a configuration can fetch it from this one
 		}
 		b.updateView(func(v *View) { v.Configuration = o })
 		b.log.Add(events.ConfigurationInForce, slog.Uint64("version", uint64(c.Version)),
@@ -246,7 +246,7 @@
 	if !b.loop.do(b.ctx, func(now time.Duration) {
 		b.balancer.SetMembers(ms, fresh, now)
 		b.updateView(func(v *View) { v.Processes = os })
-		dead = b.balancer.Reap(ms, now)
+		dead = b.balancer.MembersToRemove(ms, now)
 	}) {
 		return
 	}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -326,7 +326,7 @@
 func TestTickAfterAPacketDoesNotAllocate(t *testing.T) {
 	b := &Balancer{store: &store{}, balancer: &datagram.Balancer{Self: 1}}
 	b.balancer.Start()
-	if n := testing.AllocsPerRun(100, func() { b.tick(datagram.StatusEvery / 2) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { b.tick(datagram.StatusInterval / 2) }); n > 0 {
 		t.Errorf("%v allocations per tick", n)
 	}
 }
--- a/node/offer_test.go
+++ b/node/offer_test.go
@@ -22,7 +22,7 @@
 	defer s.run(first)()
 	configured := func(b *Balancer) datagram.Version {
 		v := make(chan datagram.Version, 1)
-		b.loop.do(t.Context(), func(time.Duration) { v <- b.balancer.Configured() })
+		b.loop.do(t.Context(), func(time.Duration) { v <- b.balancer.ConfigurationVersion() })
 		return <-v
 	}
 	s.eventually("configuration from the store", func() bool { return configured(first) == 3 })
@@ -39,7 +39,7 @@
 	if v := configured(second); v != 0 {
 		t.Fatalf("the balancer has version %d without store, seeds or offer", v)
 	}
-	second.loop.do(t.Context(), func(time.Duration) { second.balancer.Behind(first.self(), 3) })
+	second.loop.do(t.Context(), func(time.Duration) { second.balancer.OnNewerConfiguration(first.self(), 3) })
 	s.eventually("configuration from the other balancer", func() bool { return configured(second) == 3 })
 }
 
@@ -66,8 +66,8 @@
 	defer s.run(second)()
 	s.eventually("the newer configuration", func() (done bool) {
 		second.loop.do(t.Context(), func(time.Duration) {
-			second.balancer.Behind(first.self(), 3)
-			done = second.balancer.Configured() == 3
+			second.balancer.OnNewerConfiguration(first.self(), 3)
+			done = second.balancer.ConfigurationVersion() == 3
 		})
 		return done
 	})
