--- a/balancer/options.go
+++ b/balancer/options.go
@@ -12,9 +12,9 @@
 	process.Options `embed:""`
 	// Bind takes the place of the service addresses' IP where several
 	// balancers share a host, as in a trial on loopback.
-	Bind netip.Addr `help:"Listen for callers on this IP instead of the services' own." env:"POMELOWAY_BIND" placeholder:"IP" group:"Addresses"`
+	Bind netip.Addr `help:"Listen for callers on this IP instead of the IPs of the services." env:"POMELOWAY_BIND" placeholder:"IP" group:"Addresses"`
 	// Forwarders is how many sockets share each service's address.
-	Forwarders int `help:"Sockets and threads for each service's address." default:"1" env:"POMELOWAY_FORWARDERS" group:"Work"`
+	Forwarders int `help:"Number of sockets, each with its own thread, per service address." default:"1" env:"POMELOWAY_FORWARDERS" group:"Work"`
 }
 
 // maxForwarders is far above the cores of an entry VM.
--- a/cli/bundle.go
+++ b/cli/bundle.go
@@ -17,6 +17,7 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
+// dispatchBundle runs the selected bundle command.
 func dispatchBundle(ctx context.Context, cmd string, o *BundleOptions, s streams) error {
 	switch cmd {
 	case "bundle init":
@@ -37,6 +38,7 @@
 	return eris.Errorf("unknown command %q", cmd)
 }
 
+// desk returns a client for the bundles on the platform.
 func (o PlatformOptions) desk() (*operator.Desk, error) {
 	v, err := bundle.NewVerifier(o.Trust)
 	if err != nil {
@@ -45,7 +47,8 @@
 	return &operator.Desk{Store: &platform.Client{URL: o.Platform, Token: o.Token}, Verifier: v}, nil
 }
 
-// current returns the desk and the bundle in force, or nil before the first.
+// current returns the bundle client and the bundle in force, which is nil until
+// the first one is accepted.
 func (o PlatformOptions) current(ctx context.Context) (*operator.Desk, *bundle.Accepted, error) {
 	d, err := o.desk()
 	if err != nil {
@@ -55,7 +58,7 @@
 	return d, a, err
 }
 
-// signer returns the desk and the key to sign with.
+// signer returns the bundle client and the operator's secret key.
 func (o SignOptions) signer() (*operator.Desk, minisign.PrivateKey, error) {
 	k, err := o.key()
 	if err != nil {
@@ -65,6 +68,7 @@
 	return d, k, err
 }
 
+// key reads the operator's secret key and decrypts it if it is encrypted.
 func (o SignOptions) key() (minisign.PrivateKey, error) {
 	b, err := os.ReadFile(o.Sign)
 	if err != nil {
@@ -111,11 +115,11 @@
 	return nil
 }
 
-// readBundle reads and checks a bundle's file.
+// readBundle reads a bundle file and checks it. The findings name the file.
 func readBundle(name string) ([]byte, error) {
 	b, err := os.ReadFile(name)
 	if err != nil {
-		return nil, eris.Wrap(err, "bundle")
+		return nil, eris.Wrap(err, "read bundle")
 	}
 	_, err = bundle.Decode(b)
 	var f bundle.Findings
@@ -143,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	from, name := "", "nothing in force"
+	from, name := "", "no bundle in force"
 	if cur != nil {
 		from, name = cur.Signed.Text, fmt.Sprintf("version %d in force", cur.Version)
 	}
@@ -175,14 +179,14 @@
 	}
 	a, err := d.Verifier.Verify(x)
 	if err != nil {
-		return eris.Wrap(err, "the key in --sign is none of --trust")
+		return eris.Wrap(err, "the key in --sign does not match any key in --trust")
 	}
 	if o.Out == "" {
 		o.Out = o.File + ".signed"
 	}
 	text, err := json.MarshalIndent(x, "", "  ")
 	if err != nil {
-		return eris.Wrap(err, "signed bundle")
+		return eris.Wrap(err, "encode signed bundle")
 	}
 	if err := os.WriteFile(o.Out, append(text, '\n'), signedMode); err != nil {
 		return eris.Wrap(err, "--out")
@@ -196,7 +200,7 @@
 func bundleAccept(ctx context.Context, o BundleAccept, s streams) error {
 	b, err := os.ReadFile(o.File)
 	if err != nil {
-		return eris.Wrap(err, "signed bundle")
+		return eris.Wrap(err, "read signed bundle")
 	}
 	x, err := bundle.DecodeSigned(b)
 	if err != nil {
@@ -227,7 +231,7 @@
 		return err
 	}
 	if a == nil {
-		return eris.New("there is no bundle yet")
+		return eris.New("no bundle has been accepted yet")
 	}
 	fmt.Fprint(s.out, a.Signed.Text)
 	return nil
@@ -248,7 +252,7 @@
 		}
 		a, err = d.History(ctx, a.Version-1)
 		if errors.Is(err, platform.ErrNotFound) {
-			return nil // older ones were removed
+			return nil // older versions were pruned
 		}
 		if err != nil {
 			return err
@@ -266,6 +270,6 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "zone %s is %s in version %d; see it come into force with: pomeloway status --wait\n", o.Zone, to, a.Version)
+	fmt.Fprintf(s.out, "zone %s is %s in version %d; to wait until it is in force in every process, run: pomeloway status --wait\n", o.Zone, to, a.Version)
 	return nil
 }
--- a/cli/call.go
+++ b/cli/call.go
@@ -20,13 +20,14 @@
 	"pomeloway.example/pomeloway/idempotency"
 )
 
-// Settings of a caller's flow, as docs/CALLERS.md advises.
+// QUIC settings of a caller, as recommended in docs/CALLERS.md.
 const (
 	callIdle  = 8 * time.Second
 	callAlive = 2 * time.Second
 )
 
-// runCall makes one request over HTTP/3 and prints the answer as it comes.
+// runCall sends one request over HTTP/3 and copies the response body to s.out as
+// it arrives.
 func runCall(ctx context.Context, o CallOptions, s streams) error {
 	ctx, stop := context.WithTimeout(ctx, o.Timeout)
 	defer stop()
@@ -43,22 +44,23 @@
 	}
 	r, err := http.NewRequestWithContext(ctx, o.Method, o.URL, strings.NewReader(o.Data))
 	if err != nil {
-		return eris.Wrap(err, "request")
+		return eris.Wrap(err, "create request")
 	}
 	if o.Key != "" {
 		r.Header.Set(idempotency.Header, o.Key)
 	}
 	a, err := t.RoundTrip(r)
 	if err != nil {
-		return eris.Wrap(err, "request")
+		return eris.Wrap(err, "send request")
 	}
 	defer a.Body.Close()
 	fmt.Fprintln(s.errs, "status:", a.StatusCode, "agent:", a.Header.Get(agent.HeaderAgent), "outcome:", a.Header.Get(agent.HeaderOutcome))
 	_, err = io.Copy(s.out, a.Body)
-	return eris.Wrap(err, "answer")
+	return eris.Wrap(err, "read response")
 }
 
-// transport dials the address, whatever name is in the URL.
+// transport returns an HTTP/3 transport that always dials o.Address, whichever
+// host the URL names.
 func (o CallOptions) transport() (*http3.Transport, error) {
 	pool, err := x509.SystemCertPool()
 	if err != nil || pool == nil {
@@ -80,21 +82,22 @@
 	}, nil
 }
 
+// newOrderKey requests an idempotency key from the host of the URL.
 func newOrderKey(ctx context.Context, t *http3.Transport, url string) (string, error) {
 	scheme, rest, _ := strings.Cut(url, "://")
 	host, _, _ := strings.Cut(rest, "/")
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, scheme+"://"+host+agent.PathKey, nil)
 	if err != nil {
-		return "", eris.Wrap(err, "key")
+		return "", eris.Wrap(err, "create request for idempotency key")
 	}
 	a, err := t.RoundTrip(r)
 	if err != nil {
-		return "", eris.Wrap(err, "key")
+		return "", eris.Wrap(err, "request idempotency key")
 	}
 	defer a.Body.Close()
 	var k agent.IssuedKey
 	if err := json.NewDecoder(a.Body).Decode(&k); err != nil {
-		return "", eris.Wrap(err, "key")
+		return "", eris.Wrap(err, "decode idempotency key")
 	}
 	return k.Key, nil
 }
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -11,20 +11,23 @@
 	"pomeloway.example/pomeloway/explain"
 )
 
-// ExplainOptions say what to explain.
+// ExplainOptions are the options of the explain command.
 type ExplainOptions struct {
-	What  string   `arg:"" help:"Id of a request, or a caller's address and port."`
-	Files []string `arg:"" optional:"" help:"Log files of balancers and agents; standard input if none." type:"existingfile"`
+	What  string   `arg:"" help:"ID of a request, or a caller's address and port."`
+	Files []string `arg:"" optional:"" help:"Log files of balancers and agents; standard input if not given." type:"existingfile"`
 }
 
-// Validate refuses an empty id, which most lines have.
+// Validate rejects an empty ID. Most log lines have an empty request ID and would
+// match it.
 func (o *ExplainOptions) Validate() error {
 	if strings.TrimSpace(o.What) == "" {
-		return eris.New("what to explain is missing: a request's id, or a caller's address and port")
+		return eris.New("<what> is empty: give the ID of a request, or a caller's address and port")
 	}
 	return nil
 }
 
+// runExplain prints the log lines that concern one request or flow, ordered by
+// time.
 func runExplain(o ExplainOptions, s streams) error {
 	var ls []explain.Line
 	read := func(r io.Reader) error {
@@ -50,7 +53,7 @@
 	}
 	story := explain.Story(ls, o.What)
 	if len(story) == 0 {
-		return eris.Errorf("no line of %d tells of %s; it may have been left out, see linesLeftOut in /state", len(ls), o.What)
+		return eris.Errorf("none of %d log lines mentions %s; lines may have been left out, see linesLeftOut in /state", len(ls), o.What)
 	}
 	for _, l := range story {
 		fmt.Fprintln(s.out, l)
--- a/cli/key.go
+++ b/cli/key.go
@@ -11,22 +11,24 @@
 	"pomeloway.example/pomeloway/keyring"
 )
 
-// keyNew prints a fleet key. It is the one place that shows a secret.
+// keyNew prints a fleet key. No other command prints a secret.
 func keyNew(o KeyNew, s streams) error {
 	if o.ID == 0 {
 		return eris.New("--id must be 1 to 255")
 	}
 	k := keyring.NewSecret(o.ID)
-	fmt.Fprintf(s.out, "# For every balancer and agent, and nobody else:\nPOMELOWAY_KEYS=%s\n# For the bundle:\nkeys:\n  - {id: %d, fingerprint: %s}\n", k.Reveal(), o.ID, k.Fingerprint())
+	fmt.Fprintf(s.out, "# Secret. For the balancers and agents only:\nPOMELOWAY_KEYS=%s\n# For the bundle:\nkeys:\n  - {id: %d, fingerprint: %s}\n", k.Reveal(), o.ID, k.Fingerprint())
 	return nil
 }
 
 const secretMode = 0o600
 
+// keyOperator writes an operator's key pair to two files and prints the settings
+// that refer to it.
 func keyOperator(o KeyOperator, s streams) error {
 	pub, key, err := minisign.GenerateKey(rand.Reader)
 	if err != nil {
-		return eris.Wrap(err, "operator's key")
+		return eris.Wrap(err, "generate operator's key")
 	}
 	var secret []byte
 	if o.Password != "" {
@@ -35,18 +37,18 @@
 		secret, err = key.MarshalText()
 	}
 	if err != nil {
-		return eris.Wrap(err, "operator's key")
+		return eris.Wrap(err, "encode operator's secret key")
 	}
 	f, err := os.OpenFile(o.File, os.O_WRONLY|os.O_CREATE|os.O_EXCL, secretMode)
 	if err != nil {
-		return eris.Wrap(err, "a key is never overwritten")
+		return eris.Wrap(err, "create file for operator's secret key (an existing key is never overwritten)")
 	}
 	defer f.Close()
 	if _, err := f.Write(secret); err != nil {
-		return eris.Wrap(err, "operator's key")
+		return eris.Wrap(err, "write operator's secret key")
 	}
 	if err := os.WriteFile(o.File+".pub", []byte(pub.String()+"\n"), signedMode); err != nil {
-		return eris.Wrap(err, "operator's public key")
+		return eris.Wrap(err, "write operator's public key")
 	}
 	fmt.Fprintf(s.out, "POMELOWAY_SIGN=%s\nPOMELOWAY_TRUST=%s\n", o.File, pub.String())
 	return nil
--- a/cli/options.go
+++ b/cli/options.go
@@ -19,56 +19,57 @@
 // Version is the program's version.
 const Version = "0.1.0"
 
-// Options are all commands and their settings. Every flag can be given by the
-// environment variable that the help names beside it.
+// Options defines all commands and their flags. If the help of a flag names an
+// environment variable, that variable sets the flag too.
 type Options struct {
 	program.Logs `embed:""`
 
-	Balancer balancer.Options `cmd:"" help:"Run the balancer of an entry VM." group:"Programs"`
-	Agent    agent.Options    `cmd:"" help:"Run the agent beside an upstream." group:"Programs"`
+	Balancer balancer.Options `cmd:"" help:"Run the balancer on an entry VM." group:"Programs"`
+	Agent    agent.Options    `cmd:"" help:"Run the agent next to an upstream." group:"Programs"`
 
-	Datagram DatagramOptions `cmd:"" help:"Run the programs of datagram services on the users' platform." group:"Programs"`
+	Datagram DatagramOptions `cmd:"" help:"Run the programs of datagram services on the VMs of the users' platform." group:"Programs"`
 
-	Bundle BundleOptions `cmd:"" help:"Make, check, sign and accept bundles." group:"Operators"`
-	Key    KeyOptions    `cmd:"" help:"Make keys." group:"Operators"`
-	Zone   ZoneOptions   `cmd:"" help:"Take an availability zone out or back in." group:"Operators"`
-	Status StatusOptions `cmd:"" help:"Show every process and the bundle in force there." group:"Operators"`
+	Bundle BundleOptions `cmd:"" help:"Create, check, sign and accept bundles." group:"Operators"`
+	Key    KeyOptions    `cmd:"" help:"Generate keys." group:"Operators"`
+	Zone   ZoneOptions   `cmd:"" help:"Take an availability zone out of service, or bring it back." group:"Operators"`
+	Status StatusOptions `cmd:"" help:"Show every process and the bundle version in force in it." group:"Operators"`
 
-	Explain ExplainOptions `cmd:"" help:"Join logs into the story of one request or flow." group:"Operators"`
+	Explain ExplainOptions `cmd:"" help:"Merge logs into a trace of one request or flow." group:"Operators"`
 
-	Demo       demo.Options       `cmd:"" help:"Run a whole site on loopback and break it." group:"Trials"`
-	Experiment experiment.Options `cmd:"" help:"Play days of a datagram service in memory: faults from a script, policies side by side." group:"Trials"`
-	Bench      capacity.Options   `cmd:"" help:"Measure how state, traffic and processor time grow with size." group:"Trials"`
-	Call       CallOptions        `cmd:"" help:"Make one request as a caller." group:"Trials"`
+	Demo       demo.Options       `cmd:"" help:"Run a whole site on loopback and inject faults." group:"Trials"`
+	Experiment experiment.Options `cmd:"" help:"Simulate days of a datagram service in memory, with faults from a script, and compare policies." group:"Trials"`
+	Bench      capacity.Options   `cmd:"" help:"Measure how state, traffic and processor time grow with the size of the fleet." group:"Trials"`
+	Call       CallOptions        `cmd:"" help:"Send one request as a caller." group:"Trials"`
 	Standin    StandinOptions     `cmd:"" help:"Run a stand-in for the platform, the fabric or an upstream." group:"Trials"`
 
 	Version kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// DatagramOptions are the programs of datagram services.
+// DatagramOptions are the commands that run the programs of datagram services.
 type DatagramOptions struct {
-	Balancer node.Options `cmd:"" help:"Run the balancer of an entry VM."`
-	Agent    node.Options `cmd:"" help:"Run the agent beside an upstream."`
+	Balancer node.Options `cmd:"" help:"Run the balancer of datagram services on an entry VM."`
+	Agent    node.Options `cmd:"" help:"Run the agent of datagram services next to an upstream."`
 }
 
-// PlatformOptions say where the platform is and whom to trust.
+// PlatformOptions are the flags of all commands that read bundles from the
+// platform.
 type PlatformOptions struct {
 	Platform string   `help:"URL of the platform's object API." required:"" env:"POMELOWAY_PLATFORM" placeholder:"URL"`
 	Token    string   `help:"Bearer token for the platform." env:"POMELOWAY_TOKEN"`
-	Trust    []string `help:"Operators' public keys that sign bundles." required:"" env:"POMELOWAY_TRUST"`
+	Trust    []string `help:"Public keys of the operators whose signatures on bundles are accepted." required:"" env:"POMELOWAY_TRUST"`
 }
 
-// SignOptions say who signs.
+// SignOptions are the flags of all commands that sign a bundle.
 type SignOptions struct {
 	PlatformOptions
-	Sign     string `help:"File of the operator's secret key, from pomeloway key operator." required:"" type:"path" env:"POMELOWAY_SIGN" placeholder:"FILE"`
+	Sign     string `help:"File with the operator's secret key, made by pomeloway key operator." required:"" type:"path" env:"POMELOWAY_SIGN" placeholder:"FILE"`
 	Password string `help:"Password of the secret key." env:"POMELOWAY_PASSWORD"`
-	Author   string `help:"Who signs; others see it when they race." env:"POMELOWAY_AUTHOR" default:"${user}"`
+	Author   string `help:"Name of the signer; shown in the history and to operators whose bundle conflicts with this one." env:"POMELOWAY_AUTHOR" default:"${user}"`
 }
 
 // BundleOptions are the bundle commands.
 type BundleOptions struct {
-	Init     BundleInit     `cmd:"" help:"Print a first bundle to start from."`
+	Init     BundleInit     `cmd:"" help:"Print a template for the first bundle."`
 	Validate BundleValidate `cmd:"" help:"Check a bundle and print all findings."`
 	Diff     BundleDiff     `cmd:"" help:"Show how a bundle differs from the one in force."`
 	Sign     BundleSign     `cmd:"" help:"Sign a bundle as the child of the one in force."`
@@ -77,7 +78,7 @@
 	History  BundleHistory  `cmd:"" help:"List accepted bundles, newest first."`
 }
 
-// BundleInit prints a template.
+// BundleInit are the options of the bundle init command.
 type BundleInit struct {
 	Service     bundle.Name    `help:"Name of the first service." default:"web"`
 	Address     netip.AddrPort `help:"Address of the first service." default:"192.0.2.1:443"`
@@ -85,40 +86,40 @@
 	Fingerprint string         `help:"Fingerprint of the first fleet key." required:""`
 }
 
-// BundleValidate checks a file.
+// BundleValidate are the options of the bundle validate command.
 type BundleValidate struct {
 	File string `arg:"" help:"YAML file of the bundle." type:"existingfile"`
 }
 
-// BundleDiff compares a file with what is in force.
+// BundleDiff are the options of the bundle diff command.
 type BundleDiff struct {
 	PlatformOptions
 	File string `arg:"" help:"YAML file of the bundle." type:"existingfile"`
 }
 
-// BundleSign signs a file.
+// BundleSign are the options of the bundle sign command.
 type BundleSign struct {
 	SignOptions
 	File string `arg:"" help:"YAML file of the bundle." type:"existingfile"`
 	Out  string `help:"File for the signed bundle; FILE.signed if not given." type:"path" placeholder:"FILE"`
 }
 
-// BundleAccept accepts a signed file.
+// BundleAccept are the options of the bundle accept command.
 type BundleAccept struct {
 	PlatformOptions
 	File string `arg:"" help:"Signed bundle." type:"existingfile"`
 }
 
-// BundleShow prints a version.
+// BundleShow are the options of the bundle show command.
 type BundleShow struct {
 	PlatformOptions
 	Version bundle.Version `arg:"" optional:"" help:"Version to print; the one in force if not given."`
 }
 
-// BundleHistory lists versions.
+// BundleHistory are the options of the bundle history command.
 type BundleHistory struct {
 	PlatformOptions
-	Most int `help:"How many versions to list." default:"10"`
+	Most int `help:"Maximum number of versions to list." default:"10"`
 }
 
 // KeyOptions are the key commands.
@@ -127,79 +128,79 @@
 	Operator KeyOperator `cmd:"" help:"Write a new key pair for signing bundles."`
 }
 
-// KeyNew makes a fleet key.
+// KeyNew are the options of the key new command.
 type KeyNew struct {
 	ID bundle.KeyID `help:"Number of the key, 1 to 255." default:"1"`
 }
 
-// KeyOperator makes a signing key pair.
+// KeyOperator are the options of the key operator command.
 type KeyOperator struct {
-	File     string `arg:"" help:"File for the secret key; FILE.pub gets the public one." type:"path"`
-	Password string `help:"Password to encrypt the secret key with." env:"POMELOWAY_PASSWORD"`
+	File     string `arg:"" help:"File for the secret key; the public key is written to FILE.pub." type:"path"`
+	Password string `help:"Password that encrypts the secret key." env:"POMELOWAY_PASSWORD"`
 }
 
 // ZoneOptions are the zone commands.
 type ZoneOptions struct {
-	Out ZoneMove `cmd:"" help:"Take an availability zone out; its flows are given up."`
-	In  ZoneMove `cmd:"" help:"Bring an availability zone back."`
+	Out ZoneMove `cmd:"" help:"Take an availability zone out of service; its flows are abandoned."`
+	In  ZoneMove `cmd:"" help:"Bring an availability zone back into service."`
 }
 
-// ZoneMove moves a zone.
+// ZoneMove are the options of the zone out and zone in commands.
 type ZoneMove struct {
 	SignOptions
 	Zone bundle.Name `arg:"" help:"Name of the availability zone."`
 }
 
-// StatusOptions show the fleet.
+// StatusOptions are the options of the status command.
 type StatusOptions struct {
 	Platform string         `help:"URL of the platform's object API." env:"POMELOWAY_PLATFORM" placeholder:"URL"`
 	Token    string         `help:"Bearer token for the platform." env:"POMELOWAY_TOKEN"`
-	From     netip.AddrPort `help:"Ask this process for the members instead of the platform." placeholder:"IP:PORT"`
+	From     netip.AddrPort `help:"Read the list of members from this process instead of the platform." placeholder:"IP:PORT"`
 	Wait     bool           `help:"Wait until the newest version is in force in every process."`
-	Timeout  time.Duration  `help:"Longest wait." default:"30s"`
+	Timeout  time.Duration  `help:"Maximum duration of the command, including --wait." default:"30s"`
 	JSON     bool           `help:"Print JSON." name:"json"`
 }
 
-// CallOptions are one caller's request.
+// CallOptions are the options of the call command.
 type CallOptions struct {
 	Address netip.AddrPort `arg:"" help:"Address of the service."`
 	URL     string         `arg:"" help:"URL, such as https://letters/screen."`
-	CACert  string         `help:"PEM file of the certificate to trust." type:"existingfile" name:"cacert" placeholder:"FILE"`
+	CACert  string         `help:"PEM file of certificates to trust in addition to the system's." type:"existingfile" name:"cacert" placeholder:"FILE"`
 	Method  string         `help:"Method of the request." default:"GET"`
 	Data    string         `help:"Body of the request."`
-	Key     string         `help:"Idempotency key; new gets one first."`
-	Timeout time.Duration  `help:"Longest wait." default:"30s"`
+	Key     string         `help:"Idempotency key, or new to request one from the service first."`
+	Timeout time.Duration  `help:"Maximum duration of the command." default:"30s"`
 }
 
-// StandinOptions are the stand-ins.
+// StandinOptions are the commands that run stand-ins.
 type StandinOptions struct {
-	Platform StandinPlatform `cmd:"" help:"Object store with faults to switch on."`
-	Fabric   StandinFabric   `cmd:"" help:"Spray of datagrams over balancers."`
-	Upstream StandinUpstream `cmd:"" help:"Back end with slots, cold start and drain."`
+	Platform StandinPlatform `cmd:"" help:"Object store with faults that can be switched on."`
+	Fabric   StandinFabric   `cmd:"" help:"Network fabric that sends each datagram to a random balancer."`
+	Upstream StandinUpstream `cmd:"" help:"Back end with slots, cold start and draining."`
 }
 
-// StandinPlatform is a platform.
+// StandinPlatform are the options of the platform's stand-in.
 type StandinPlatform struct {
 	Listen netip.AddrPort `help:"Address to serve on." default:"127.0.0.1:7100" env:"POMELOWAY_LISTEN"`
-	Reads  float64        `help:"Reads a second that it takes; 0 means any." default:"2000"`
-	Writes float64        `help:"Writes a second that it takes; 0 means any." default:"300"`
+	Reads  float64        `help:"Maximum number of reads per second; 0 for no limit." default:"2000"`
+	Writes float64        `help:"Maximum number of writes per second; 0 for no limit." default:"300"`
 }
 
-// StandinFabric is a fabric.
+// StandinFabric are the options of the fabric's stand-in.
 type StandinFabric struct {
 	Service  []netip.AddrPort `help:"Addresses of the services." required:"" placeholder:"IP:PORT"`
-	Balancer []string         `help:"Balancers as IP@OPERATOR, the IP of --bind and the operator's page." required:"" placeholder:"IP@IP:PORT"`
-	Stale    time.Duration    `help:"How long a dead balancer still gets datagrams." default:"2s"`
+	Balancer []string         `help:"Balancers as IP@IP:PORT: the IP of the balancer's --bind and the address of its --operator." required:"" placeholder:"IP@IP:PORT"`
+	Stale    time.Duration    `help:"Time for which an unreachable balancer still receives datagrams." default:"2s"`
 }
 
-// StandinUpstream is an upstream.
+// StandinUpstream are the options of an upstream's stand-in.
 type StandinUpstream struct {
 	Listen  netip.AddrPort `help:"Address to serve on." required:"" placeholder:"IP:PORT"`
 	Service string         `help:"Name of the service." required:""`
 	Name    string         `help:"Name of the upstream." default:"upstream"`
 	Zone    string         `help:"Name of the availability zone." default:"zone-1"`
-	Slots   int            `help:"Work it takes at once." default:"5"`
-	Cold    int            `help:"Work it bears while cold." default:"1"`
-	Answers int            `help:"Answers that double what it bears." default:"5"`
-	Work    time.Duration  `help:"Time it works on a request." default:"20ms"`
+	Slots   int            `help:"Maximum number of concurrent requests." default:"5"`
+	Cold    int            `help:"Maximum number of concurrent requests right after a cold start." default:"1"`
+	Answers int            `help:"Number of responses after which a cold upstream doubles its maximum." default:"5"`
+	Work    time.Duration  `help:"Time to process a request; five times as long while cold." default:"20ms"`
 }
--- a/cli/run.go
+++ b/cli/run.go
@@ -1,4 +1,4 @@
-// Package cli is the command line: it parses settings and hands over.
+// Package cli parses the command line and runs the commands.
 package cli
 
 import (
@@ -24,33 +24,33 @@
 // Exit codes.
 const (
 	exitOK          = 0
-	exitFailed      = 1
-	exitUsage       = 2
-	exitNotAccepted = 3
-	exitUnknown     = 4
-	exitBroken      = 5
+	exitFailed      = 1 // any other error
+	exitUsage       = 2 // wrong usage, an invalid bundle or a missing file
+	exitNotAccepted = 3 // the bundle was not accepted
+	exitUnknown     = 4 // it is unknown whether the bundle was accepted
+	exitBroken      = 5 // the demo or experiment detected a broken invariant
 )
 
-// streams are where a command writes.
+// streams are the writers and the logger of a command.
 type streams struct {
 	out, errs io.Writer
 	log       *slog.Logger
 }
 
-// Run runs the command line and returns the exit code.
+// Run parses the arguments, runs the command and returns the exit code.
 func Run(args []string, out, errs io.Writer) int {
 	var o Options
 	code := -1
 	k, err := kong.New(&o,
 		kong.Name("pomeloway"),
-		kong.Description("A layer-4 load balancer for QUIC whose balancers remember no flow."),
+		kong.Description("A layer-4 load balancer for QUIC whose balancers keep no per-flow state."),
 		kong.Writers(out, errs),
 		kong.Vars{"version": "pomeloway " + Version, "user": userName()},
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: helpWidth}),
 		kong.Exit(func(c int) { code = c; panic(exited{}) }),
 	)
 	if err != nil {
-		panic(err) // the options are constants of this program
+		panic(err) // the options are fixed at compile time, so this is a bug
 	}
 	c, err := parse(k, args)
 	if code >= 0 {
@@ -65,9 +65,12 @@
 
 const helpWidth = 100
 
-// exited ends the parsing after help or version were printed.
+// exited is the panic value that stops parsing once the help or the version has
+// been printed.
 type exited struct{}
 
+// parse parses the arguments. It returns nil values if parsing was stopped by
+// exited.
 func parse(k *kong.Kong, args []string) (c *kong.Context, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -82,6 +85,8 @@
 	return k.Parse(args)
 }
 
+// userName returns the name of the current user, or an empty string if it is
+// unknown.
 func userName() string {
 	u, err := user.Current()
 	if err != nil {
@@ -90,7 +95,7 @@
 	return u.Username
 }
 
-// dispatch hands over to the command.
+// dispatch runs the selected command.
 func dispatch(c *kong.Context, o *Options, s streams) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -145,7 +150,7 @@
 	return experiment.Run(ctx, o, s.out)
 }
 
-// exitCode prints the error and returns the code that tells it apart.
+// exitCode prints the error and returns its exit code.
 func exitCode(err error, w io.Writer) int {
 	var f bundle.Findings
 	switch {
--- a/cli/script_test.go
+++ b/cli/script_test.go
@@ -21,8 +21,8 @@
 	})
 }
 
-// TestScripts runs the scenarios. Each has a platform of its own at $PLATFORM;
-// `faults JSON` throws its switches.
+// TestScripts runs the scripts in testdata/script. Each script has its own platform
+// at $PLATFORM. At $NOBODY no process listens.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/script",
@@ -41,6 +41,8 @@
 			return nil
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
+			// faults outage makes the platform refuse all calls; faults lose makes
+			// it drop the response to the next write.
 			"faults": func(ts *testscript.TestScript, _ bool, args []string) {
 				var f standin.Faults
 				switch args[0] {
@@ -51,7 +53,7 @@
 				}
 				ts.Value("platform").(*standin.Platform).Set(f)
 			},
-			// setfrom VAR FILE reads VAR=value out of a command's output.
+			// setfrom VAR FILE sets VAR to the value of the line VAR=value in FILE.
 			"setfrom": func(ts *testscript.TestScript, _ bool, args []string) {
 				for _, l := range bytes.Split([]byte(ts.ReadFile(args[1])), []byte("\n")) {
 					if v, ok := bytes.CutPrefix(l, []byte(args[0]+"=")); ok {
@@ -59,12 +61,13 @@
 						return
 					}
 				}
-				ts.Fatalf("%s is not in %s", args[0], args[1])
+				ts.Fatalf("no line starts with %s= in %s", args[0], args[1])
 			},
 		},
 	})
 }
 
+// TestHelp compares the help texts with the golden files.
 func TestHelp(t *testing.T) {
 	for name, args := range map[string][]string{
 		"help": {"--help"}, "help-balancer": {"balancer", "--help"}, "help-agent": {"agent", "--help"},
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -21,6 +21,7 @@
 	return serveHTTP(o.Listen, p, "platform", s)
 }
 
+// limiter returns a limiter of the rate, or nil if the rate is not limited.
 func limiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
@@ -36,7 +37,8 @@
 	return serveHTTP(o.Listen, u.Handler(), "upstream "+o.Name, s)
 }
 
-// serveHTTP serves until a signal, then lets running requests end.
+// serveHTTP serves until the process receives a signal, then closes all
+// connections.
 func serveHTTP(a netip.AddrPort, h http.Handler, name string, s streams) error {
 	l, err := net.Listen("tcp", a.String())
 	if err != nil {
@@ -52,6 +54,8 @@
 	return g.Run()
 }
 
+// fabricPoll is the interval between readiness checks of the balancers, and the
+// timeout of each check.
 const fabricPoll = 500 * time.Millisecond
 
 func standinFabric(o StandinFabric, s streams) error {
@@ -69,8 +73,9 @@
 	return g.Run()
 }
 
-// pollReady gives the fabric the balancers that say they are ready, and those
-// that fell silent for a while longer, as a real fabric does.
+// pollReady keeps the fabric's list of balancers up to date. The list contains the
+// balancers that report ready, and unreachable ones until o.Stale has passed since
+// they last reported ready, because a real fabric takes time to detect a failure.
 func pollReady(ctx context.Context, f *standin.Fabric, o StandinFabric) error {
 	last := map[string]time.Time{}
 	c := &http.Client{Timeout: fabricPoll}
@@ -105,6 +110,8 @@
 	}
 }
 
+// askReady queries the readiness endpoint at a balancer's operator address. It
+// returns whether the balancer is ready and whether it was reached.
 func askReady(ctx context.Context, c *http.Client, page string) (ready, reached bool) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+page+"/readyz", nil)
 	if err != nil {
--- a/cli/status.go
+++ b/cli/status.go
@@ -18,10 +18,11 @@
 
 const statusPoll = 250 * time.Millisecond
 
-// runStatus prints who is there, and with --wait waits for the laggards.
+// runStatus prints the status of all members. With --wait it first waits until
+// the newest version is in force in all of them.
 func runStatus(ctx context.Context, o StatusOptions, s streams) error {
 	if o.Platform == "" && !o.From.IsValid() {
-		return eris.New("status: give --platform ($POMELOWAY_PLATFORM) or --from")
+		return eris.New("status: either --platform ($POMELOWAY_PLATFORM) or --from is required")
 	}
 	ctx, stop := context.WithTimeout(ctx, o.Timeout)
 	defer stop()
@@ -38,11 +39,12 @@
 		case <-time.After(statusPoll):
 		case <-ctx.Done():
 			printStatus(rows, o.JSON, s)
-			return eris.Errorf("version %d is not in force in: %s", want, names(late))
+			return eris.Errorf("version %d is not yet in force in: %s", want, names(late))
 		}
 	}
 }
 
+// names returns the IDs of the members, separated by commas.
 func names(rows []operator.Row) string {
 	var n []string
 	for _, r := range rows {
@@ -51,7 +53,8 @@
 	return strings.Join(n, ", ")
 }
 
-// look asks everybody once, and finds the version that must be in force.
+// look queries all members once. It returns their status and the newest version,
+// which every member should have in force.
 func look(ctx context.Context, o StatusOptions) ([]operator.Row, bundle.Version, error) {
 	var v operator.Survey
 	c := &platform.Client{URL: o.Platform, Token: o.Token}
@@ -69,7 +72,9 @@
 	return rows, max(operator.Newest(rows), stored(ctx, c, o)), nil
 }
 
-// stored returns the version that the platform holds, unless it is not asked.
+// stored returns the bundle version stored on the platform, without checking its
+// signature. It returns 0 if that version cannot be read, or if --from is given,
+// because the command then does not use the platform.
 func stored(ctx context.Context, c *platform.Client, o StatusOptions) bundle.Version {
 	if o.From.IsValid() {
 		return 0
