--- a/cli/bundle.go
+++ b/cli/bundle.go
@@ -83,7 +83,7 @@
 	return k, eris.Wrap(err, "--sign ($POMELOWAY_SIGN)")
 }
 
-const initText = `# First bundle. Check it with: pomeloway bundle validate FILE
+const initTemplate = `# First bundle. Check it with: pomeloway bundle validate FILE
 services:
   - id: 1
     name: %s
@@ -107,7 +107,7 @@
 	for i, z := range o.Zone {
 		zones += fmt.Sprintf("  - {id: %d, name: %s, state: in}\n", i+1, z)
 	}
-	text := fmt.Sprintf(initText, o.Service, o.Address, zones, o.Fingerprint)
+	text := fmt.Sprintf(initTemplate, o.Service, o.Address, zones, o.Fingerprint)
 	if _, err := bundle.Decode([]byte(text)); err != nil {
 		return err
 	}
@@ -188,14 +188,14 @@
 	if err != nil {
 		return eris.Wrap(err, "encode signed bundle")
 	}
-	if err := os.WriteFile(o.Out, append(text, '\n'), signedMode); err != nil {
+	if err := os.WriteFile(o.Out, append(text, '\n'), publicFileMode); err != nil {
 		return eris.Wrap(err, "--out")
 	}
 	fmt.Fprintf(s.out, "signed as version %d by %s, digest %s: %s\n", a.Version, a.Author, a.Digest, o.Out)
 	return nil
 }
 
-const signedMode = 0o644
+const publicFileMode = 0o644
 
 func bundleAccept(ctx context.Context, o BundleAccept, s streams) error {
 	b, err := os.ReadFile(o.File)
@@ -261,7 +261,7 @@
 	return nil
 }
 
-func zoneMove(ctx context.Context, o ZoneMove, to bundle.ZoneState, s streams) error {
+func setZoneState(ctx context.Context, o ZoneMove, to bundle.ZoneState, s streams) error {
 	d, k, err := o.signer()
 	if err != nil {
 		return err
--- a/cli/call.go
+++ b/cli/call.go
@@ -22,8 +22,8 @@
 
 // QUIC settings of a caller, as recommended in docs/CALLERS.md.
 const (
-	callIdle  = 8 * time.Second
-	callAlive = 2 * time.Second
+	callIdleTimeout     = 8 * time.Second
+	callKeepAlivePeriod = 2 * time.Second
 )
 
 // runCall sends one request over HTTP/3 and copies the response body to s.out as
@@ -37,7 +37,7 @@
 	}
 	defer t.Close()
 	if o.Key == "new" {
-		if o.Key, err = newOrderKey(ctx, t, o.URL); err != nil {
+		if o.Key, err = requestIdempotencyKey(ctx, t, o.URL); err != nil {
 			return err
 		}
 		fmt.Fprintln(s.errs, "key:", o.Key)
@@ -75,15 +75,15 @@
 	}
 	return &http3.Transport{
 		TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool},
-		QUICConfig:      &quic.Config{MaxIdleTimeout: callIdle, KeepAlivePeriod: callAlive},
+		QUICConfig:      &quic.Config{MaxIdleTimeout: callIdleTimeout, KeepAlivePeriod: callKeepAlivePeriod},
 		Dial: func(ctx context.Context, _ string, c *tls.Config, q *quic.Config) (*quic.Conn, error) {
 			return quic.DialAddr(ctx, o.Address.String(), c, q)
 		},
 	}, nil
 }
 
-// newOrderKey requests an idempotency key from the host of the URL.
-func newOrderKey(ctx context.Context, t *http3.Transport, url string) (string, error) {
+// requestIdempotencyKey requests an idempotency key from the host of the URL.
+func requestIdempotencyKey(ctx context.Context, t *http3.Transport, url string) (string, error) {
 	scheme, rest, _ := strings.Cut(url, "://")
 	host, _, _ := strings.Cut(rest, "/")
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, scheme+"://"+host+agent.PathKey, nil)
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -51,11 +51,11 @@
 			return eris.Wrap(err, n)
 		}
 	}
-	story := explain.Story(ls, o.What)
-	if len(story) == 0 {
+	trace := explain.Story(ls, o.What)
+	if len(trace) == 0 {
 		return eris.Errorf("none of %d log lines mentions %s; lines may have been left out, see linesLeftOut in /state", len(ls), o.What)
 	}
-	for _, l := range story {
+	for _, l := range trace {
 		fmt.Fprintln(s.out, l)
 	}
 	return nil
--- a/cli/key.go
+++ b/cli/key.go
@@ -21,7 +21,7 @@
 	return nil
 }
 
-const secretMode = 0o600
+const secretFileMode = 0o600
 
 // keyOperator writes an operator's key pair to two files and prints the settings
 // that refer to it.
@@ -39,7 +39,7 @@
 	if err != nil {
 		return eris.Wrap(err, "encode operator's secret key")
 	}
-	f, err := os.OpenFile(o.File, os.O_WRONLY|os.O_CREATE|os.O_EXCL, secretMode)
+	f, err := os.OpenFile(o.File, os.O_WRONLY|os.O_CREATE|os.O_EXCL, secretFileMode)
 	if err != nil {
 		return eris.Wrap(err, "create file for operator's secret key (an existing key is never overwritten)")
 	}
@@ -47,7 +47,7 @@
 	if _, err := f.Write(secret); err != nil {
 		return eris.Wrap(err, "write operator's secret key")
 	}
-	if err := os.WriteFile(o.File+".pub", []byte(pub.String()+"\n"), signedMode); err != nil {
+	if err := os.WriteFile(o.File+".pub", []byte(pub.String()+"\n"), publicFileMode); err != nil {
 		return eris.Wrap(err, "write operator's public key")
 	}
 	fmt.Fprintf(s.out, "POMELOWAY_SIGN=%s\nPOMELOWAY_TRUST=%s\n", o.File, pub.String())
--- a/cli/run.go
+++ b/cli/run.go
@@ -23,12 +23,12 @@
 
 // Exit codes.
 const (
-	exitOK          = 0
-	exitFailed      = 1 // any other error
-	exitUsage       = 2 // wrong usage, an invalid bundle or a missing file
-	exitNotAccepted = 3 // the bundle was not accepted
-	exitUnknown     = 4 // it is unknown whether the bundle was accepted
-	exitBroken      = 5 // the demo or experiment detected a broken invariant
+	exitOK              = 0
+	exitFailed          = 1 // any other error
+	exitUsage           = 2 // wrong usage, an invalid bundle or a missing file
+	exitNotAccepted     = 3 // the bundle was not accepted
+	exitOutcomeUnknown  = 4 // it is unknown whether the bundle was accepted
+	exitInvariantBroken = 5 // the demo or experiment detected a broken invariant
 )
 
 // streams are the writers and the logger of a command.
@@ -125,9 +125,9 @@
 	case "key operator <file>":
 		return keyOperator(o.Key.Operator, s)
 	case "zone out <zone>":
-		return zoneMove(ctx, o.Zone.Out, bundle.ZoneStateOut, s)
+		return setZoneState(ctx, o.Zone.Out, bundle.ZoneStateOut, s)
 	case "zone in <zone>":
-		return zoneMove(ctx, o.Zone.In, bundle.ZoneStateIn, s)
+		return setZoneState(ctx, o.Zone.In, bundle.ZoneStateIn, s)
 	case "standin platform":
 		return standinPlatform(o.Standin.Platform, s)
 	case "standin fabric":
@@ -164,11 +164,11 @@
 	fmt.Fprintln(w, "pomeloway:", err)
 	switch {
 	case errors.Is(err, operator.ErrUnknown):
-		return exitUnknown
+		return exitOutcomeUnknown
 	case errors.Is(err, operator.ErrNotAccepted):
 		return exitNotAccepted
 	case errors.Is(err, demo.ErrBroken), errors.Is(err, experiment.ErrBroken):
-		return exitBroken
+		return exitInvariantBroken
 	case errors.Is(err, os.ErrNotExist):
 		return exitUsage
 	}
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -54,9 +54,9 @@
 	return g.Run()
 }
 
-// fabricPoll is the interval between readiness checks of the balancers, and the
-// timeout of each check.
-const fabricPoll = 500 * time.Millisecond
+// fabricPollInterval is the interval between readiness checks of the balancers,
+// and the timeout of each check.
+const fabricPollInterval = 500 * time.Millisecond
 
 func standinFabric(o StandinFabric, s streams) error {
 	f := standin.NewFabric()
@@ -68,52 +68,53 @@
 	ctx, stop := signalContext(context.Background())
 	defer stop()
 	var g run.Group
-	g.Add(func() error { return pollReady(ctx, f, o) }, func(error) { stop(); f.Close() })
+	g.Add(func() error { return pollBalancers(ctx, f, o) }, func(error) { stop(); f.Close() })
 	fmt.Fprintf(s.errs, "stand-in for the fabric serves %v\n", o.Service)
 	return g.Run()
 }
 
-// pollReady keeps the fabric's list of balancers up to date. The list contains the
-// balancers that report ready, and unreachable ones until o.Stale has passed since
-// they last reported ready, because a real fabric takes time to detect a failure.
-func pollReady(ctx context.Context, f *standin.Fabric, o StandinFabric) error {
-	last := map[string]time.Time{}
-	c := &http.Client{Timeout: fabricPoll}
+// pollBalancers keeps the fabric's list of balancers up to date. The list contains
+// the balancers that report ready, and unreachable ones until o.Stale has passed
+// since they last reported ready, because a real fabric takes time to detect a
+// failure.
+func pollBalancers(ctx context.Context, f *standin.Fabric, o StandinFabric) error {
+	lastReady := map[string]time.Time{}
+	c := &http.Client{Timeout: fabricPollInterval}
 	for {
-		var live []netip.Addr
+		var targets []netip.Addr
 		for _, b := range o.Balancer {
-			ip, page, _ := strings.Cut(b, "@")
+			ip, operatorAddr, _ := strings.Cut(b, "@")
 			a, err := netip.ParseAddr(ip)
 			if err != nil {
 				return eris.Wrap(err, "--balancer")
 			}
-			ready, reached := askReady(ctx, c, page)
+			ready, reached := checkReady(ctx, c, operatorAddr)
 			if ready {
-				last[b] = time.Now()
+				lastReady[b] = time.Now()
 			}
-			if ready || !reached && time.Since(last[b]) < o.Stale {
-				live = append(live, a)
+			if ready || !reached && time.Since(lastReady[b]) < o.Stale {
+				targets = append(targets, a)
 			}
 		}
 		for _, svc := range o.Service {
 			var to []netip.AddrPort
-			for _, a := range live {
+			for _, a := range targets {
 				to = append(to, netip.AddrPortFrom(a, svc.Port()))
 			}
 			f.Set(svc, to)
 		}
 		select {
-		case <-time.After(fabricPoll):
+		case <-time.After(fabricPollInterval):
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// askReady queries the readiness endpoint at a balancer's operator address. It
+// checkReady queries the readiness endpoint at a balancer's operator address. It
 // returns whether the balancer is ready and whether it was reached.
-func askReady(ctx context.Context, c *http.Client, page string) (ready, reached bool) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+page+"/readyz", nil)
+func checkReady(ctx context.Context, c *http.Client, operatorAddr string) (ready, reached bool) {
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+operatorAddr+"/readyz", nil)
 	if err != nil {
 		return false, true
 	}
--- a/cli/status.go
+++ b/cli/status.go
@@ -16,7 +16,7 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-const statusPoll = 250 * time.Millisecond
+const statusPollInterval = 250 * time.Millisecond
 
 // runStatus prints the status of all members. With --wait it first waits until
 // the newest version is in force in all of them.
@@ -27,25 +27,25 @@
 	ctx, stop := context.WithTimeout(ctx, o.Timeout)
 	defer stop()
 	for {
-		rows, want, err := look(ctx, o)
+		rows, want, err := queryMembers(ctx, o)
 		if err != nil {
 			return err
 		}
-		late := operator.Lagging(rows, want)
-		if !o.Wait || len(late) == 0 {
+		lagging := operator.Lagging(rows, want)
+		if !o.Wait || len(lagging) == 0 {
 			return printStatus(rows, o.JSON, s)
 		}
 		select {
-		case <-time.After(statusPoll):
+		case <-time.After(statusPollInterval):
 		case <-ctx.Done():
 			printStatus(rows, o.JSON, s)
-			return eris.Errorf("version %d is not yet in force in: %s", want, names(late))
+			return eris.Errorf("version %d is not yet in force in: %s", want, memberIDs(lagging))
 		}
 	}
 }
 
-// names returns the IDs of the members, separated by commas.
-func names(rows []operator.Row) string {
+// memberIDs returns the IDs of the members, separated by commas.
+func memberIDs(rows []operator.Row) string {
 	var n []string
 	for _, r := range rows {
 		n = append(n, string(r.Member.ID))
@@ -53,9 +53,9 @@
 	return strings.Join(n, ", ")
 }
 
-// look queries all members once. It returns their status and the newest version,
-// which every member should have in force.
-func look(ctx context.Context, o StatusOptions) ([]operator.Row, bundle.Version, error) {
+// queryMembers queries all members once. It returns their status and the newest
+// known version, which every member should have in force.
+func queryMembers(ctx context.Context, o StatusOptions) ([]operator.Row, bundle.Version, error) {
 	var v operator.Survey
 	c := &platform.Client{URL: o.Platform, Token: o.Token}
 	var ms []fleet.Member
@@ -69,13 +69,13 @@
 		return nil, 0, err
 	}
 	rows := v.Ask(ctx, ms)
-	return rows, max(operator.Newest(rows), stored(ctx, c, o)), nil
+	return rows, max(operator.Newest(rows), storedVersion(ctx, c, o)), nil
 }
 
-// stored returns the bundle version stored on the platform, without checking its
-// signature. It returns 0 if that version cannot be read, or if --from is given,
+// storedVersion returns the version of the bundle on the platform, without checking
+// its signature. It returns 0 if the bundle cannot be read, or if --from is given,
 // because the command then does not use the platform.
-func stored(ctx context.Context, c *platform.Client, o StatusOptions) bundle.Version {
+func storedVersion(ctx context.Context, c *platform.Client, o StatusOptions) bundle.Version {
 	if o.From.IsValid() {
 		return 0
 	}
