--- a/cli/options.go
+++ b/cli/options.go
@@ -32,7 +32,7 @@
 	Bundle BundleOptions `cmd:"" help:"Create, check, sign and accept bundles." group:"Operators"`
 	Key    KeyOptions    `cmd:"" help:"Generate keys." group:"Operators"`
 	Zone   ZoneOptions   `cmd:"" help:"Take an availability zone out of service, or bring it back." group:"Operators"`
-	Status StatusOptions `cmd:"" help:"Show every process and the bundle version in force in it." group:"Operators"`
+	Status StatusOptions `cmd:"" help:"List all processes and the bundle version in force in each." group:"Operators"`
 
 	Explain ExplainOptions `cmd:"" help:"Merge logs into a trace of one request or flow." group:"Operators"`
 
@@ -51,7 +51,7 @@
 	Agent    node.Options `cmd:"" help:"Run the agent of datagram services next to an upstream."`
 }
 
-// PlatformOptions are the flags of all commands that read bundles from the
+// PlatformOptions are the flags of all commands that read or write bundles on the
 // platform.
 type PlatformOptions struct {
 	Platform string   `help:"URL of the platform's object API." required:"" env:"POMELOWAY_PLATFORM" placeholder:"URL"`
