--- a/cli/status.go
+++ b/cli/status.go
@@ -16,34 +16,36 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-const statusPoll = 250 * time.Millisecond
+const statusPollInterval = 250 * time.Millisecond
 
-// runStatus prints who is there, and with --wait waits for the laggards.
+// runStatus prints the status of all members. With --wait it first waits until
+// the newest version is in force in all of them.
 func runStatus(ctx context.Context, o StatusOptions, s streams) error {
 	if o.Platform == "" && !o.From.IsValid() {
-		return eris.New("status: give --platform ($POMELOWAY_PLATFORM) or --from")
+		return eris.New("status: either --platform ($POMELOWAY_PLATFORM) or --from is required")
 	}
 	ctx, stop := context.WithTimeout(ctx, o.Timeout)
 	defer stop()
 	for {
-		rows, want, err := look(ctx, o)
+		rows, want, err := queryMembers(ctx, o)
 		if err != nil {
 			return err
 		}
-		late := operator.Lagging(rows, want)
-		if !o.Wait || len(late) == 0 {
+		lagging := operator.Lagging(rows, want)
+		if !o.Wait || len(lagging) == 0 {
 			return printStatus(rows, o.JSON, s)
 		}
 		select {
-		case <-time.After(statusPoll):
+		case <-time.After(statusPollInterval):
 		case <-ctx.Done():
 			printStatus(rows, o.JSON, s)
-			return eris.Errorf("version %d is not in force in: %s", want, names(late))
+			return eris.Errorf("version %d is not yet in force in: %s", want, memberIDs(lagging))
 		}
 	}
 }
 
-func names(rows []operator.Row) string {
+// memberIDs returns the IDs of the members, separated by commas.
+func memberIDs(rows []operator.Row) string {
 	var n []string
 	for _, r := range rows {
 		n = append(n, string(r.Member.ID))
@@ -51,8 +53,9 @@
 	return strings.Join(n, ", ")
 }
 
-// look asks everybody once, and finds the version that must be in force.
-func look(ctx context.Context, o StatusOptions) ([]operator.Row, bundle.Version, error) {
+// queryMembers queries all members once. It returns their status and the newest
+// known version, which every member should have in force.
+func queryMembers(ctx context.Context, o StatusOptions) ([]operator.Row, bundle.Version, error) {
 	var v operator.Survey
 	c := &platform.Client{URL: o.Platform, Token: o.Token}
 	var ms []fleet.Member
@@ -66,11 +69,13 @@
 		return nil, 0, err
 	}
 	rows := v.Ask(ctx, ms)
-	return rows, max(operator.Newest(rows), stored(ctx, c, o)), nil
+	return rows, max(operator.Newest(rows), storedVersion(ctx, c, o)), nil
 }
 
-// stored returns the version that the platform holds, unless it is not asked.
-func stored(ctx context.Context, c *platform.Client, o StatusOptions) bundle.Version {
+// storedVersion returns the version of the bundle on the platform, without checking
+// its signature. It returns 0 if the bundle cannot be read, or if --from is given,
+// because the command then does not use the platform.
+func storedVersion(ctx context.Context, c *platform.Client, o StatusOptions) bundle.Version {
 	if o.From.IsValid() {
 		return 0
 	}
