--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -1,5 +1,5 @@
-// Package bundle is the configuration that operators sign and roll out: its
-// types, its YAML form, its checks and its signed, versioned envelope.
+// Package bundle defines the fleet configuration that operators sign and roll
+// out: its types, YAML form, validation and signed, versioned envelope.
 package bundle
 
 import (
@@ -19,10 +19,10 @@
 // KeyID identifies one fleet key; zero is never valid.
 type KeyID uint8
 
-// Name is what operators call a service or an availability zone.
+// Name is the name that operators gave to a service or an availability zone.
 type Name string
 
-// Bundle is one whole configuration of the fleet.
+// Bundle is a complete configuration of the fleet.
 type Bundle struct {
 	Services   []Service `yaml:"services"`
 	Zones      []Zone    `yaml:"zones"`
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// ZoneOut reports whether operators have taken the availability zone out.
-// A zone that the bundle does not name counts as out.
+// ZoneOut reports whether operators have taken the availability zone out of
+// service. A zone that the bundle does not list counts as out.
 func (b *Bundle) ZoneOut(i ZoneID) bool {
 	for _, z := range b.Zones {
 		if z.ID == i {
@@ -52,7 +52,8 @@
 	return true
 }
 
-// Service is one service: where callers reach it and what its upstreams bear.
+// Service describes a service: the address that callers connect to and the
+// limits of its upstreams.
 type Service struct {
 	ID        ServiceID      `yaml:"id"`
 	Name      Name           `yaml:"name"`
@@ -62,8 +63,8 @@
 	Routes    []Route        `yaml:"routes,omitempty"`
 }
 
-// Holds returns what a request for the path takes from its upstream.
-// The longest matching prefix decides; without one it is a slot.
+// Holds returns what a request for the path occupies on its upstream. The route
+// with the longest matching prefix decides; without a match it is a slot.
 func (s *Service) Holds(path string) Holding {
 	best, h := -1, HoldingSlot
 	for _, r := range s.Routes {
@@ -74,25 +75,27 @@
 	return h
 }
 
-// Limits says how much work each upstream of a service takes.
+// Limits describes how much work each upstream of a service accepts.
 type Limits struct {
 	Slots       int       `yaml:"slots"`
 	Connections int       `yaml:"connections"`
 	Queue       int       `yaml:"queue,omitempty"`
 	ColdStart   ColdStart `yaml:"coldStart"`
-	// Body is the longest body of a request, such as 64MB; zero means any.
+	// Body is the maximum length of a request body, such as 64MB; zero means
+	// no limit.
 	Body Size `yaml:"body,omitempty"`
-	// ShedStatus is the HTTP status by which an upstream says that it has not
-	// run a request; zero means that no status says so.
+	// ShedStatus is the HTTP status with which an upstream reports that it did
+	// not run a request; zero means that upstreams have no such status.
 	ShedStatus int `yaml:"shedStatus,omitempty"`
-	// AnswersCarryID says that upstreams repeat the request's id in the answer.
+	// AnswersCarryID reports whether upstreams repeat the request's ID in the
+	// response.
 	AnswersCarryID bool `yaml:"answersCarryID,omitempty"`
 }
 
-// Size is a length in bytes, written such as 64MB; MB is 1024 kB.
+// Size is a length in bytes. Its text form is like 64MB, where MB is 1024 kB.
 type Size uint64
 
-// UnmarshalText reads a size.
+// UnmarshalText parses a size such as 64MB.
 func (s *Size) UnmarshalText(b []byte) error {
 	var v datasize.ByteSize
 	if err := v.UnmarshalText(b); err != nil {
@@ -102,10 +105,11 @@
 	return nil
 }
 
-// defaultQueueShare is the queue's length for each slot when none is given.
+// defaultQueueShare is the queue length per slot if Limits.Queue is not set.
 const defaultQueueShare = 4
 
-// QueueLength returns how many requests may wait for an upstream's slots.
+// QueueLength returns the maximum number of requests that wait for a slot of an
+// upstream.
 func (l *Limits) QueueLength() int {
 	if l.Queue > 0 {
 		return l.Queue
@@ -113,34 +117,35 @@
 	return l.Slots * defaultQueueShare
 }
 
-// ColdStart says what an upstream in cold start bears.
+// ColdStart limits the work that an upstream gets while it is in cold start.
 type ColdStart struct {
-	// Slots is the work in flight that a cold upstream bears.
+	// Slots is the initial limit of concurrent requests of a cold upstream.
 	Slots int `yaml:"slots"`
-	// Answers is the count of good answers that double the allowance.
+	// Answers is the number of successful responses after which the limit
+	// doubles.
 	Answers int `yaml:"answers"`
 }
 
-// Route says what the requests below a path prefix hold.
+// Route sets what requests below a path prefix occupy on their upstream.
 type Route struct {
 	Prefix string  `yaml:"prefix"`
 	Holds  Holding `yaml:"holds"`
 }
 
-// Zone is an availability zone and the state that operators gave it.
+// Zone is an availability zone and the state that operators set for it.
 type Zone struct {
 	ID    ZoneID    `yaml:"id"`
 	Name  Name      `yaml:"name"`
 	State ZoneState `yaml:"state"`
 }
 
-// Key names a fleet key by the public fingerprint of its secret.
+// Key identifies a fleet key by the public fingerprint of its secret.
 type Key struct {
 	ID          KeyID  `yaml:"id"`
 	Fingerprint string `yaml:"fingerprint"`
 }
 
-// Timeouts bounds waiting; a zero field means its default.
+// Timeouts configures time limits; a zero field means its default.
 type Timeouts struct {
 	Request    time.Duration `yaml:"request,omitempty"`
 	Queue      time.Duration `yaml:"queue,omitempty"`
@@ -150,8 +155,8 @@
 	ZoneOutRun time.Duration `yaml:"zoneOutRun,omitempty"`
 }
 
-// Defaults of Timeouts. Idle is four keep-alives, so that a path which went
-// silent is found within the ten seconds that operators were promised.
+// Defaults of Timeouts. Idle is four keep-alives, so that a path that has gone
+// silent is detected within 10 s, the time that operators were promised.
 const (
 	defaultRequest    = 10 * time.Minute
 	defaultQueue      = 2 * time.Second
@@ -177,18 +182,18 @@
 	return t
 }
 
-// Protocol is what callers speak to a service.
+// Protocol is the protocol between callers and a service.
 type Protocol string
 
 // ProtocolH3 is HTTP/3 over QUIC.
 const ProtocolH3 Protocol = "h3"
 
-// UnmarshalText checks the protocol while it is decoded.
+// UnmarshalText parses a protocol and rejects unknown ones.
 func (p *Protocol) UnmarshalText(b []byte) error {
 	return oneOf(p, b, ProtocolH3)
 }
 
-// ZoneState is in or out.
+// ZoneState says whether an availability zone is in or out of service.
 type ZoneState string
 
 // States of an availability zone.
@@ -197,25 +202,27 @@
 	ZoneStateOut ZoneState = "out"
 )
 
-// UnmarshalText checks the state while it is decoded.
+// UnmarshalText parses a state and rejects unknown ones.
 func (z *ZoneState) UnmarshalText(b []byte) error {
 	return oneOf(z, b, ZoneStateIn, ZoneStateOut)
 }
 
-// Holding is what a request takes from its upstream while it runs.
+// Holding is what a request occupies on its upstream while it runs.
 type Holding string
 
-// A slot is held by work; a connection is held by a feed that mostly waits.
+// A request that does work occupies a slot. A feed, which is idle most of the
+// time, occupies only a connection.
 const (
 	HoldingSlot       Holding = "slot"
 	HoldingConnection Holding = "connection"
 )
 
-// UnmarshalText checks the holding while it is decoded.
+// UnmarshalText parses a holding and rejects unknown ones.
 func (h *Holding) UnmarshalText(b []byte) error {
 	return oneOf(h, b, HoldingSlot, HoldingConnection)
 }
 
+// oneOf sets t to the value of all whose text is b.
 func oneOf[T ~string](t *T, b []byte, all ...T) error {
 	for _, a := range all {
 		if string(b) == string(a) {
@@ -223,5 +230,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%q is none of %v", b, all)
+	return fmt.Errorf("%q is not one of %v", b, all)
 }
--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -32,19 +32,19 @@
 			"    protocol: h3\n", "    protocol: h3\n    colour: blue\n",
 			"name: dar-2", "name: dar-1",
 			"currentKey: 1", "currentKey: 7").Replace(good),
-		"impossible limits": strings.Replace(good, "slots: 5, connections: 2000, coldStart: {slots: 1, answers: 5}",
+		"limits out of range": strings.Replace(good, "slots: 5, connections: 2000, coldStart: {slots: 1, answers: 5}",
 			"slots: -1, connections: many, body: lots, coldStart: {slots: 9, answers: 0}", 1),
-		"overlapping addresses": strings.Replace(good, "zones:\n", `  - id: 1
+		"reused id and address": strings.Replace(good, "zones:\n", `  - id: 1
     name: scans
     address: 192.0.2.1:443
     protocol: h2
     upstreams: {slots: 5, connections: 2000, coldStart: {slots: 1, answers: 5}}
 zones:
 `, 1),
-		"broken YAML":     "services: [\n",
-		"two documents":   good + "---\n" + good,
-		"wrong shapes":    "services: 7\nzones: {a: 1}\nkeys:\n  - 5\ncurrentKey: [1]\n",
-		"silent timeouts": good + "timeouts: {idle: 60s, keepAlive: 50s, queue: -1s, request: soon}\n",
+		"broken YAML":      "services: [\n",
+		"two documents":    good + "---\n" + good,
+		"wrong YAML types": "services: 7\nzones: {a: 1}\nkeys:\n  - 5\ncurrentKey: [1]\n",
+		"invalid timeouts": good + "timeouts: {idle: 60s, keepAlive: 50s, queue: -1s, request: soon}\n",
 	}
 	for name, text := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -64,11 +64,11 @@
 		t.Fatal(err)
 	}
 	if !b.ZoneOut(2) || b.ZoneOut(1) || !b.ZoneOut(9) {
-		t.Error("zone 1 must be in; 2 and the unknown 9 out")
+		t.Error("want zone 1 in; zone 2 and the unknown zone 9 out")
 	}
 	s := b.Service(1)
 	if s.Holds("/feed/7") != HoldingConnection || s.Holds("/order") != HoldingSlot {
-		t.Error("a feed holds a connection, an order a slot")
+		t.Error("want a feed to hold a connection and an order to hold a slot")
 	}
 }
 
@@ -81,9 +81,9 @@
 	return key, v
 }
 
-// Somebody who has taken over the platform, or a peer, changes a bundle on its
-// way: its text, its place in the line, or its signer. If any of it took effect
-// operators would no longer decide what is in force.
+// An attacker who controls the platform or a peer changes a bundle on its way:
+// its text, its version or its signer. If such a bundle took effect, operators
+// would no longer control the configuration.
 func TestVerifyRefusesWhatNoOperatorSigned(t *testing.T) {
 	key, v := signer(t)
 	other, _ := signer(t)
@@ -94,11 +94,11 @@
 	foreign, _ := Sign([]byte(good), Stamp{Version: 2}, other)
 	plain, _ := Sign([]byte("services: 7"), Stamp{Version: 2}, key)
 	tests := map[string]Signed{
-		"altered text":      {Text: s.Text + " ", Signature: s.Signature},
-		"altered stamp":     {Text: s.Text, Signature: strings.Replace(s.Signature, "bundle 2", "bundle 3", 1)},
-		"unsigned":          {Text: s.Text},
-		"other signer":      foreign,
-		"signed but no use": plain,
+		"altered text":         {Text: s.Text + " ", Signature: s.Signature},
+		"altered stamp":        {Text: s.Text, Signature: strings.Replace(s.Signature, "bundle 2", "bundle 3", 1)},
+		"unsigned":             {Text: s.Text},
+		"other signer":         foreign,
+		"signed but not valid": plain,
 	}
 	for name, x := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -109,7 +109,7 @@
 	}
 	a, err := v.Verify(s)
 	if err != nil || a.Version != 2 || a.Parent != "aa" || a.Author != "Neema_K" {
-		t.Errorf("the signed one: %+v, %v", a, err)
+		t.Errorf("correctly signed bundle: %+v, %v", a, err)
 	}
 }
 
@@ -130,14 +130,15 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		var s Stamp
 		if s.UnmarshalText([]byte(text)) == nil && s.Version == 0 {
-			t.Error("a stamp without version was read")
+			t.Error("accepted a stamp without a version")
 		}
 	})
 }
 
-// A fleet of 870 services rolls out a bundle. Every process took 11 s to decode
-// it, since each value cost a pass over the whole text, and the change was late
-// everywhere. Memory taken stands for time here: twice the text, twice of it.
+// The decoder once made a pass over the whole text for each value. A bundle of
+// 870 services took 11 s to decode in every process, which delayed each change.
+// The test uses allocated memory as a measure of time: twice the text must
+// allocate about twice as much.
 func TestDecodeGrowsWithTheTextAndNotItsSquare(t *testing.T) {
 	text := func(n int) []byte {
 		var b strings.Builder
@@ -158,6 +159,6 @@
 		}).AllocedBytesPerOp()
 	}
 	if one, two := bytes(50), bytes(100); two > one*5/2 {
-		t.Errorf("50 services take %d bytes, 100 take %d", one, two)
+		t.Errorf("decoding 50 services allocates %d bytes, 100 services %d, want about twice as many", one, two)
 	}
 }
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Bounds that the checks hold a bundle to.
+// Limits that a valid bundle must keep.
 const (
 	maxSlots       = 10_000
 	maxConnections = 1_000_000
 	maxQueue       = 100_000
 	maxName        = 63
-	maxIdle        = 10 * time.Second
+	maxIdle        = 10 * time.Second // see the defaults of Timeouts
 )
 
-// check adds a finding for everything that decodes but cannot be served.
+// check adds a finding for every value that decodes but is not valid.
 func (d *decoder) check(b *Bundle) {
 	d.checkKeys(b)
 	d.checkZones(b)
@@ -48,11 +48,11 @@
 		ids.add(p+".id", z.ID, z.ID != 0)
 		names.add(p+".name", z.Name, d.nameOK(p+".name", z.Name))
 		if z.State == "" {
-			d.add(p+".state", "is missing; say in or out")
+			d.add(p+".state", "is missing; must be in or out")
 		}
 	}
 	if len(b.Zones) == 0 {
-		d.add("zones", "names no availability zone")
+		d.add("zones", "must list at least one availability zone")
 	}
 }
 
@@ -65,7 +65,7 @@
 		names.add(p+".name", s.Name, d.nameOK(p+".name", s.Name))
 		addrs.add(p+".address", s.Address, s.Address.IsValid() && s.Address.Port() != 0)
 		if s.Protocol == "" {
-			d.add(p+".protocol", "is missing; say h3")
+			d.add(p+".protocol", "is missing; must be h3")
 		}
 		d.checkLimits(p+".upstreams", s.Upstreams)
 		d.checkRoutes(p, s.Routes)
@@ -89,7 +89,7 @@
 		at := fmt.Sprintf("%s.routes[%d]", p, n)
 		seen.add(at+".prefix", r.Prefix, strings.HasPrefix(r.Prefix, "/"))
 		if r.Holds == "" {
-			d.add(at+".holds", "is missing; say slot or connection")
+			d.add(at+".holds", "is missing; must be slot or connection")
 		}
 	}
 }
@@ -106,36 +106,40 @@
 	}
 	t = t.OrDefault()
 	if t.Idle > maxIdle {
-		d.add("timeouts.idle", fmt.Sprintf("%v is more than %v: a silent path would go unnoticed", t.Idle, maxIdle))
+		d.add("timeouts.idle", fmt.Sprintf("%v is more than %v: a silent path would be detected too late", t.Idle, maxIdle))
 	}
 	if t.KeepAlive*2 > t.Idle {
 		d.add("timeouts.keepAlive", fmt.Sprintf("%v is more than half of idle %v: one lost probe would close a flow", t.KeepAlive, t.Idle))
 	}
 }
 
+// within adds a finding unless v is between low and high, both included.
 func (d *decoder) within(path string, v, low, high int) {
 	if v < low || v > high {
-		d.add(path, fmt.Sprintf("%d is not within %d and %d", v, low, high))
+		d.add(path, fmt.Sprintf("%d is not between %d and %d", v, low, high))
 	}
 }
 
+// nameOK reports whether the name is valid and adds a finding if it is not.
 func (d *decoder) nameOK(path string, n Name) bool {
 	ok := n != "" && len(n) <= maxName
 	for _, r := range n {
 		ok = ok && (r == '-' || r >= 'a' && r <= 'z' || r >= '0' && r <= '9')
 	}
 	if !ok {
-		d.add(path, fmt.Sprintf("%q must be 1 to %d of a-z, 0-9 and -", n, maxName))
+		d.add(path, fmt.Sprintf("%q must be 1 to %d characters of a-z, 0-9 and -", n, maxName))
 	}
 	return ok
 }
 
-// unique finds the second use of an id, name or address.
+// unique detects ids, names and addresses that are used more than once.
 type unique[K comparable] struct {
 	d  *decoder
-	at map[K]string
+	at map[K]string // the path of the first use
 }
 
+// add adds a finding if k is not valid or was added before. An invalid name adds
+// none because nameOK has reported it.
 func (u *unique[K]) add(path string, k K, valid bool) {
 	if !valid {
 		if _, ok := any(k).(Name); !ok {
--- a/bundle/decode.go
+++ b/bundle/decode.go
@@ -1,8 +1,9 @@
-// This file decodes a bundle's YAML. A plain strict decode stops at the first
-// fault, and operators want every fault at once, so the decoder walks the
-// parsed tree beside the Go types: a mapping against a struct's yaml tags, a
-// sequence against a slice, a scalar through the library. It costs one pass
-// over the tree; given up are anchors and merge keys, which bundles don't use.
+// This file decodes the YAML of a bundle. The library's strict decoder stops at
+// the first error, but operators need all errors at once. The decoder therefore
+// walks the parsed tree together with the Go types: it matches mappings with
+// structs by their yaml tags and sequences with slices, and converts scalars
+// from their text. This takes one pass over the tree. Anchors and merge keys,
+// which bundles don't use, are not supported.
 
 package bundle
 
@@ -20,15 +21,15 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// MaxText is the largest bundle in bytes: the platform's value limit less room
-// for the signature and the envelope around it.
+// MaxText is the maximum length of a bundle in bytes: the platform's limit for
+// a value, less space for the signature and the envelope.
 const MaxText = 900_000
 
-// Decode reads a bundle and checks it. The error is of type Findings.
+// Decode parses and validates a bundle. A returned error is of type Findings.
 func Decode(text []byte) (*Bundle, error) {
 	d := &decoder{places: map[string]place{}, failed: map[string]bool{}}
 	if len(text) > MaxText {
-		d.add("bundle", fmt.Sprintf("has %d bytes, more than %d; split the services over two fleets", len(text), MaxText))
+		d.add("bundle", fmt.Sprintf("has %d bytes, more than the maximum of %d; split the services into two fleets", len(text), MaxText))
 		return nil, d.found
 	}
 	f, err := parser.ParseBytes(text, 0)
@@ -49,17 +50,22 @@
 	return b, nil
 }
 
+// place is a position in the text.
 type place struct{ line, column int }
 
+// decoder decodes one bundle and collects its errors.
 type decoder struct {
+	// places maps the path of each field and list item to its position.
 	places map[string]place
-	// failed are the paths that could not be decoded: what the checks would say
-	// of the zero values there is no news.
+	// failed holds the paths that could not be decoded. Validation errors there
+	// would only describe zero values, so they are dropped.
 	failed map[string]bool
 	found  Findings
 }
 
-// add records a finding at the path, or at its nearest parent that was seen.
+// add records a finding at the position of the path or, if that is unknown, of
+// its nearest parent with a known position. It records nothing if one of these
+// paths could not be decoded.
 func (d *decoder) add(path, text string) {
 	at := place{line: 1, column: 1}
 	for p := path; p != ""; p = parent(p) {
@@ -74,12 +80,13 @@
 	d.found = append(d.found, Finding{Line: at.line, Column: at.column, Path: path, Text: text})
 }
 
-// fail records a finding that makes others at the path needless.
+// fail records a finding and suppresses further findings at the path.
 func (d *decoder) fail(path, text string) {
 	d.add(path, text)
 	d.failed[path] = true
 }
 
+// parent returns the path without its last element, or "".
 func parent(path string) string {
 	i := strings.LastIndexAny(path, ".[")
 	if i < 0 {
@@ -88,6 +95,7 @@
 	return path[:i]
 }
 
+// syntax records an error of the YAML parser.
 func (d *decoder) syntax(err error) {
 	var e yaml.Error
 	f := Finding{Line: 1, Column: 1, Path: "bundle", Text: err.Error()}
@@ -100,12 +108,14 @@
 	d.found = append(d.found, f)
 }
 
+// note records the position of the path.
 func (d *decoder) note(path string, n ast.Node) {
 	if t := n.GetToken(); t != nil && t.Position != nil {
 		d.places[path] = place{t.Position.Line, t.Position.Column}
 	}
 }
 
+// value decodes a node into v.
 func (d *decoder) value(path string, n ast.Node, v reflect.Value) {
 	if path != "" {
 		if _, ok := d.places[path]; !ok {
@@ -122,11 +132,13 @@
 	}
 }
 
+// isScalar reports whether v is decoded from text, although it may be a struct.
 func isScalar(v reflect.Value) bool {
 	_, ok := v.Addr().Interface().(interface{ UnmarshalText([]byte) error })
 	return ok
 }
 
+// fields decodes a mapping into a struct.
 func (d *decoder) fields(path string, n ast.Node, v reflect.Value) {
 	byTag := map[string]reflect.Value{}
 	for i := range v.NumField() {
@@ -152,6 +164,8 @@
 	}
 }
 
+// pairs returns the entries of a mapping. The parser represents a mapping of one
+// entry as the entry itself.
 func pairs(n ast.Node) []*ast.MappingValueNode {
 	switch m := n.(type) {
 	case *ast.MappingNode:
@@ -162,6 +176,7 @@
 	return nil
 }
 
+// items decodes a sequence into a slice.
 func (d *decoder) items(path string, n ast.Node, v reflect.Value) {
 	s, ok := n.(*ast.SequenceNode)
 	if !ok {
@@ -175,8 +190,8 @@
 }
 
 // scalar decodes a single value from its text. The library's own conversion of
-// a node formats the whole document for each value, which takes the square of
-// the bundle's length: 11 s for 870 services.
+// a node formats the whole document for each value and thus takes quadratic time
+// in the length of the bundle: 11 s for 870 services.
 func (d *decoder) scalar(path string, n ast.Node, v reflect.Value) {
 	if _, ok := n.(ast.ScalarNode); !ok || n.GetToken() == nil {
 		d.fail(path, "must be a single value")
@@ -187,6 +202,7 @@
 	}
 }
 
+// setText sets v to the value that the text represents.
 func setText(v reflect.Value, text string) error {
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		return u.UnmarshalText([]byte(text))
@@ -218,7 +234,7 @@
 		}
 		v.SetUint(x)
 	default:
-		return fmt.Errorf("a %v can't be read", v.Type())
+		return fmt.Errorf("values of type %v are not supported", v.Type())
 	}
 	return nil
 }
--- a/bundle/finding.go
+++ b/bundle/finding.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Finding is one fault of a bundle and the place it was found at.
+// Finding is an error in a bundle and its position.
 type Finding struct {
 	File   string `json:"file,omitempty"`
 	Line   int    `json:"line"`
@@ -19,7 +19,7 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s", f.File, f.Line, f.Column, f.Path, f.Text)
 }
 
-// Findings are all faults of one bundle; as an error it lists every one.
+// Findings holds all errors in one bundle. As an error it lists every one.
 type Findings []Finding
 
 // Error returns one line for each finding.
@@ -34,7 +34,7 @@
 	return b.String()
 }
 
-// InFile returns the findings with the file's name set.
+// InFile sets the file name of the findings and returns them.
 func (f Findings) InFile(name string) Findings {
 	for n := range f {
 		f[n].File = name
--- a/bundle/signed.go
+++ b/bundle/signed.go
@@ -13,7 +13,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Version counts accepted bundles from one upwards; a process never goes back.
+// Version numbers accepted bundles, starting at one. A process never goes back
+// to an earlier version.
 type Version uint64
 
 // Digest is the SHA-256 of a bundle's text in lower-case hexadecimal.
@@ -25,15 +26,16 @@
 	return Digest(hex.EncodeToString(s[:]))
 }
 
-// Stamp is the signed place of a bundle in the line of versions. It travels in
-// the signature's trusted comment, so the text itself stays the operator's.
+// Stamp is the signed position of a bundle in the version history. It is stored
+// in the trusted comment of the signature, so that the text stays exactly as the
+// operator wrote it.
 type Stamp struct {
 	Version Version `json:"version"`
 	Parent  Digest  `json:"parent,omitempty"`
 	Author  string  `json:"author,omitempty"`
 }
 
-// UnmarshalText reads a trusted comment as Stamp.MarshalText wrote it.
+// UnmarshalText parses a trusted comment written by Stamp.MarshalText.
 func (s *Stamp) UnmarshalText(b []byte) error {
 	f := strings.Fields(string(b))
 	if len(f) != 4 || f[0] != stampTag {
@@ -55,14 +57,14 @@
 
 const stampTag = "pomeloway-bundle"
 
-// Signed is a bundle as the platform and the peers keep it. Only Verify makes
-// it into something that may take effect.
+// Signed is a bundle as the platform and the peers store it. It may take effect
+// only after Verify has accepted it.
 type Signed struct {
 	Text      string `json:"text"`
 	Signature string `json:"signature"`
 }
 
-// Sign returns the text under the operator's key with the stamp.
+// Sign signs the text and the stamp with the operator's key.
 func Sign(text []byte, s Stamp, key minisign.PrivateKey) (Signed, error) {
 	c, err := s.MarshalText()
 	if err != nil {
@@ -72,7 +74,7 @@
 	return Signed{Text: string(text), Signature: string(sig)}, nil
 }
 
-// Accepted is a bundle whose signature, stamp and content were all checked.
+// Accepted is a bundle whose signature, stamp and content have been verified.
 type Accepted struct {
 	Stamp
 	Bundle *Bundle
@@ -85,7 +87,7 @@
 	Keys []minisign.PublicKey
 }
 
-// NewVerifier reads public keys in minisign's text form.
+// NewVerifier returns a verifier for public keys in minisign's text form.
 func NewVerifier(texts []string) (*Verifier, error) {
 	v := &Verifier{}
 	for _, t := range texts {
@@ -98,32 +100,33 @@
 	return v, nil
 }
 
-// NewOperator returns a fresh key of an operator and the verifier that trusts it
-// alone, for sites that are made for one run.
+// NewOperator generates an operator's key and returns it with a verifier that
+// trusts only this key. It is for fleets that exist for a single run.
 func NewOperator() (minisign.PrivateKey, *Verifier, error) {
 	pub, key, err := minisign.GenerateKey(rand.Reader)
 	if err != nil {
-		return key, nil, eris.Wrap(err, "operator's key")
+		return key, nil, eris.Wrap(err, "generate operator's key")
 	}
 	return key, &Verifier{Keys: []minisign.PublicKey{pub}}, nil
 }
 
-// Verify returns the accepted form of a signed bundle, or why it is none.
+// Verify checks the signature, stamp and content of a signed bundle and returns
+// its accepted form.
 //
-// An altered or unsigned bundle shows as a failing signature here, in every
-// process, before anything of its text is used: so a platform or peer that was
-// taken over can withhold a bundle but cannot make one.
+// Every process verifies the signature before it uses any of the text. A
+// compromised platform or peer can therefore withhold a bundle but cannot forge
+// or alter one.
 func (v *Verifier) Verify(s Signed) (*Accepted, error) {
 	ok := false
 	for _, k := range v.Keys {
 		ok = ok || minisign.Verify(k, []byte(s.Text), []byte(s.Signature))
 	}
 	if !ok {
-		return nil, eris.New("bundle's signature is of none of the operators' keys")
+		return nil, eris.New("bundle signature matches none of the operators' public keys")
 	}
 	var sig minisign.Signature
 	if err := sig.UnmarshalText([]byte(s.Signature)); err != nil {
-		return nil, eris.Wrap(err, "bundle's signature")
+		return nil, eris.Wrap(err, "parse bundle signature")
 	}
 	a := &Accepted{Signed: s, Digest: DigestOf([]byte(s.Text))}
 	if err := a.Stamp.UnmarshalText([]byte(sig.TrustedComment)); err != nil {
@@ -137,15 +140,15 @@
 	return a, nil
 }
 
-// DecodeSigned reads the JSON form of a signed bundle.
+// DecodeSigned decodes the JSON form of a signed bundle.
 func DecodeSigned(b []byte) (Signed, error) {
 	var s Signed
 	err := json.Unmarshal(b, &s)
-	return s, eris.Wrap(err, "signed bundle")
+	return s, eris.Wrap(err, "decode signed bundle")
 }
 
-// ClaimedVersion returns the version that the stamp claims, without checking
-// the signature; zero if there is none. It is for showing only.
+// ClaimedVersion returns the version in the stamp without checking the
+// signature, or zero if there is no valid stamp. It is for display only.
 func (s Signed) ClaimedVersion() Version {
 	var sig minisign.Signature
 	var t Stamp
