--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// defaultQueueShare is the queue length per slot if Limits.Queue is not set.
-const defaultQueueShare = 4
+// defaultQueuePerSlot is the queue length per slot if Limits.Queue is not set.
+const defaultQueuePerSlot = 4
 
 // QueueLength returns the maximum number of requests that wait for a slot of an
 // upstream.
@@ -114,7 +114,7 @@
 	if l.Queue > 0 {
 		return l.Queue
 	}
-	return l.Slots * defaultQueueShare
+	return l.Slots * defaultQueuePerSlot
 }
 
 // ColdStart limits the work that an upstream gets while it is in cold start.
--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -10,7 +10,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-const good = `services:
+const validBundle = `services:
   - id: 1
     name: letters
     address: 192.0.2.1:443
@@ -31,10 +31,10 @@
 		"unknown fields and reused names": strings.NewReplacer(
 			"    protocol: h3\n", "    protocol: h3\n    colour: blue\n",
 			"name: dar-2", "name: dar-1",
-			"currentKey: 1", "currentKey: 7").Replace(good),
-		"limits out of range": strings.Replace(good, "slots: 5, connections: 2000, coldStart: {slots: 1, answers: 5}",
+			"currentKey: 1", "currentKey: 7").Replace(validBundle),
+		"limits out of range": strings.Replace(validBundle, "slots: 5, connections: 2000, coldStart: {slots: 1, answers: 5}",
 			"slots: -1, connections: many, body: lots, coldStart: {slots: 9, answers: 0}", 1),
-		"reused id and address": strings.Replace(good, "zones:\n", `  - id: 1
+		"reused id and address": strings.Replace(validBundle, "zones:\n", `  - id: 1
     name: scans
     address: 192.0.2.1:443
     protocol: h2
@@ -42,9 +42,9 @@
 zones:
 `, 1),
 		"broken YAML":      "services: [\n",
-		"two documents":    good + "---\n" + good,
+		"two documents":    validBundle + "---\n" + validBundle,
 		"wrong YAML types": "services: 7\nzones: {a: 1}\nkeys:\n  - 5\ncurrentKey: [1]\n",
-		"invalid timeouts": good + "timeouts: {idle: 60s, keepAlive: 50s, queue: -1s, request: soon}\n",
+		"invalid timeouts": validBundle + "timeouts: {idle: 60s, keepAlive: 50s, queue: -1s, request: soon}\n",
 	}
 	for name, text := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 }
 
 func TestDecodeTakesAGoodBundle(t *testing.T) {
-	b, err := Decode([]byte(good))
+	b, err := Decode([]byte(validBundle))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,11 +87,11 @@
 func TestVerifyRefusesWhatNoOperatorSigned(t *testing.T) {
 	key, v := signer(t)
 	other, _ := signer(t)
-	s, err := Sign([]byte(good), Stamp{Version: 2, Parent: "aa", Author: "Neema K"}, key)
+	s, err := Sign([]byte(validBundle), Stamp{Version: 2, Parent: "aa", Author: "Neema K"}, key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	foreign, _ := Sign([]byte(good), Stamp{Version: 2}, other)
+	foreign, _ := Sign([]byte(validBundle), Stamp{Version: 2}, other)
 	plain, _ := Sign([]byte("services: 7"), Stamp{Version: 2}, key)
 	tests := map[string]Signed{
 		"altered text":         {Text: s.Text + " ", Signature: s.Signature},
@@ -114,7 +114,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validBundle))
 	f.Add([]byte("services: 7"))
 	f.Add([]byte("a: &x [*x]"))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -146,7 +146,7 @@
 		for i := range n {
 			fmt.Fprintf(&b, "  - {id: %d, name: s%d, address: 10.0.%d.%d:443, protocol: h3, upstreams: {slots: 1, connections: 1, coldStart: {slots: 1, answers: 1}}}\n", i+1, i, i>>8, i&255)
 		}
-		return []byte(b.String() + good[strings.Index(good, "zones:"):])
+		return []byte(b.String() + validBundle[strings.Index(validBundle, "zones:"):])
 	}
 	bytes := func(n int) int64 {
 		x := text(n)
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -11,8 +11,8 @@
 const (
 	maxSlots       = 10_000
 	maxConnections = 1_000_000
-	maxQueue       = 100_000
-	maxName        = 63
+	maxQueueLength = 100_000
+	maxNameLength  = 63
 	maxIdle        = 10 * time.Second // see the defaults of Timeouts
 )
 
@@ -33,7 +33,7 @@
 			d.add(p+".fingerprint", "is missing; `pomeloway key new` prints it")
 		}
 	}
-	if _, ok := seen.at[b.CurrentKey]; !ok {
+	if _, ok := seen.firstUse[b.CurrentKey]; !ok {
 		d.add("currentKey", fmt.Sprintf("%d is not the id of any key", b.CurrentKey))
 	}
 	if len(b.Keys) > 2 {
@@ -46,7 +46,7 @@
 	for n, z := range b.Zones {
 		p := fmt.Sprintf("zones[%d]", n)
 		ids.add(p+".id", z.ID, z.ID != 0)
-		names.add(p+".name", z.Name, d.nameOK(p+".name", z.Name))
+		names.add(p+".name", z.Name, d.checkName(p+".name", z.Name))
 		if z.State == "" {
 			d.add(p+".state", "is missing; must be in or out")
 		}
@@ -62,7 +62,7 @@
 		s := &b.Services[n]
 		p := fmt.Sprintf("services[%d]", n)
 		ids.add(p+".id", s.ID, s.ID != 0)
-		names.add(p+".name", s.Name, d.nameOK(p+".name", s.Name))
+		names.add(p+".name", s.Name, d.checkName(p+".name", s.Name))
 		addrs.add(p+".address", s.Address, s.Address.IsValid() && s.Address.Port() != 0)
 		if s.Protocol == "" {
 			d.add(p+".protocol", "is missing; must be h3")
@@ -73,14 +73,14 @@
 }
 
 func (d *decoder) checkLimits(p string, l Limits) {
-	d.within(p+".slots", l.Slots, 1, maxSlots)
-	d.within(p+".connections", l.Connections, 1, maxConnections)
-	d.within(p+".queue", l.Queue, 0, maxQueue)
+	d.checkRange(p+".slots", l.Slots, 1, maxSlots)
+	d.checkRange(p+".connections", l.Connections, 1, maxConnections)
+	d.checkRange(p+".queue", l.Queue, 0, maxQueueLength)
 	if l.ShedStatus != 0 {
-		d.within(p+".shedStatus", l.ShedStatus, 400, 599)
+		d.checkRange(p+".shedStatus", l.ShedStatus, 400, 599)
 	}
-	d.within(p+".coldStart.slots", l.ColdStart.Slots, 1, max(l.Slots, 1))
-	d.within(p+".coldStart.answers", l.ColdStart.Answers, 1, maxQueue)
+	d.checkRange(p+".coldStart.slots", l.ColdStart.Slots, 1, max(l.Slots, 1))
+	d.checkRange(p+".coldStart.answers", l.ColdStart.Answers, 1, maxQueueLength)
 }
 
 func (d *decoder) checkRoutes(p string, rs []Route) {
@@ -113,29 +113,29 @@
 	}
 }
 
-// within adds a finding unless v is between low and high, both included.
-func (d *decoder) within(path string, v, low, high int) {
+// checkRange adds a finding unless v is between low and high, both included.
+func (d *decoder) checkRange(path string, v, low, high int) {
 	if v < low || v > high {
 		d.add(path, fmt.Sprintf("%d is not between %d and %d", v, low, high))
 	}
 }
 
-// nameOK reports whether the name is valid and adds a finding if it is not.
-func (d *decoder) nameOK(path string, n Name) bool {
-	ok := n != "" && len(n) <= maxName
+// checkName reports whether the name is valid and adds a finding if it is not.
+func (d *decoder) checkName(path string, n Name) bool {
+	ok := n != "" && len(n) <= maxNameLength
 	for _, r := range n {
 		ok = ok && (r == '-' || r >= 'a' && r <= 'z' || r >= '0' && r <= '9')
 	}
 	if !ok {
-		d.add(path, fmt.Sprintf("%q must be 1 to %d characters of a-z, 0-9 and -", n, maxName))
+		d.add(path, fmt.Sprintf("%q must be 1 to %d characters of a-z, 0-9 and -", n, maxNameLength))
 	}
 	return ok
 }
 
 // unique detects ids, names and addresses that are used more than once.
 type unique[K comparable] struct {
-	d  *decoder
-	at map[K]string // the path of the first use
+	d        *decoder
+	firstUse map[K]string // the path of each key's first use
 }
 
 // add adds a finding if k is not valid or was added before. An invalid name adds
@@ -147,12 +147,12 @@
 		}
 		return
 	}
-	if first, ok := u.at[k]; ok {
+	if first, ok := u.firstUse[k]; ok {
 		u.d.add(path, fmt.Sprintf("%v is already used by %s", k, first))
 		return
 	}
-	if u.at == nil {
-		u.at = map[K]string{}
+	if u.firstUse == nil {
+		u.firstUse = map[K]string{}
 	}
-	u.at[k] = path
+	u.firstUse[k] = path
 }
--- a/bundle/decode.go
+++ b/bundle/decode.go
@@ -27,57 +27,57 @@
 
 // Decode parses and validates a bundle. A returned error is of type Findings.
 func Decode(text []byte) (*Bundle, error) {
-	d := &decoder{places: map[string]place{}, failed: map[string]bool{}}
+	d := &decoder{positions: map[string]position{}, failed: map[string]bool{}}
 	if len(text) > MaxText {
 		d.add("bundle", fmt.Sprintf("has %d bytes, more than the maximum of %d; split the services into two fleets", len(text), MaxText))
-		return nil, d.found
+		return nil, d.findings
 	}
 	f, err := parser.ParseBytes(text, 0)
 	if err != nil {
-		d.syntax(err)
-		return nil, d.found
+		d.addSyntaxError(err)
+		return nil, d.findings
 	}
 	b := &Bundle{}
 	if len(f.Docs) != 1 || f.Docs[0].Body == nil {
 		d.add("bundle", "must be exactly one YAML document")
-		return nil, d.found
+		return nil, d.findings
 	}
-	d.value("", f.Docs[0].Body, reflect.ValueOf(b).Elem())
+	d.decodeValue("", f.Docs[0].Body, reflect.ValueOf(b).Elem())
 	d.check(b)
-	if len(d.found) > 0 {
-		return nil, d.found
+	if len(d.findings) > 0 {
+		return nil, d.findings
 	}
 	return b, nil
 }
 
-// place is a position in the text.
-type place struct{ line, column int }
+// position is a line and a column of the text, both counted from one.
+type position struct{ line, column int }
 
 // decoder decodes one bundle and collects its errors.
 type decoder struct {
-	// places maps the path of each field and list item to its position.
-	places map[string]place
+	// positions maps the path of each field and list item to its position.
+	positions map[string]position
 	// failed holds the paths that could not be decoded. Validation errors there
 	// would only describe zero values, so they are dropped.
-	failed map[string]bool
-	found  Findings
+	failed   map[string]bool
+	findings Findings
 }
 
 // add records a finding at the position of the path or, if that is unknown, of
 // its nearest parent with a known position. It records nothing if one of these
 // paths could not be decoded.
 func (d *decoder) add(path, text string) {
-	at := place{line: 1, column: 1}
-	for p := path; p != ""; p = parent(p) {
+	at := position{line: 1, column: 1}
+	for p := path; p != ""; p = parentPath(p) {
 		if d.failed[p] {
 			return
 		}
-		if x, ok := d.places[p]; ok {
+		if x, ok := d.positions[p]; ok {
 			at = x
 			break
 		}
 	}
-	d.found = append(d.found, Finding{Line: at.line, Column: at.column, Path: path, Text: text})
+	d.findings = append(d.findings, Finding{Line: at.line, Column: at.column, Path: path, Text: text})
 }
 
 // fail records a finding and suppresses further findings at the path.
@@ -86,8 +86,8 @@
 	d.failed[path] = true
 }
 
-// parent returns the path without its last element, or "".
-func parent(path string) string {
+// parentPath returns the path without its last element, or "".
+func parentPath(path string) string {
 	i := strings.LastIndexAny(path, ".[")
 	if i < 0 {
 		return ""
@@ -95,8 +95,8 @@
 	return path[:i]
 }
 
-// syntax records an error of the YAML parser.
-func (d *decoder) syntax(err error) {
+// addSyntaxError records an error of the YAML parser.
+func (d *decoder) addSyntaxError(err error) {
 	var e yaml.Error
 	f := Finding{Line: 1, Column: 1, Path: "bundle", Text: err.Error()}
 	if errors.As(err, &e) {
@@ -105,30 +105,30 @@
 			f.Line, f.Column = t.Position.Line, t.Position.Column
 		}
 	}
-	d.found = append(d.found, f)
+	d.findings = append(d.findings, f)
 }
 
-// note records the position of the path.
-func (d *decoder) note(path string, n ast.Node) {
+// recordPosition records the position of the path.
+func (d *decoder) recordPosition(path string, n ast.Node) {
 	if t := n.GetToken(); t != nil && t.Position != nil {
-		d.places[path] = place{t.Position.Line, t.Position.Column}
+		d.positions[path] = position{t.Position.Line, t.Position.Column}
 	}
 }
 
-// value decodes a node into v.
-func (d *decoder) value(path string, n ast.Node, v reflect.Value) {
+// decodeValue decodes a node into v.
+func (d *decoder) decodeValue(path string, n ast.Node, v reflect.Value) {
 	if path != "" {
-		if _, ok := d.places[path]; !ok {
-			d.note(path, n)
+		if _, ok := d.positions[path]; !ok {
+			d.recordPosition(path, n)
 		}
 	}
 	switch {
 	case v.Kind() == reflect.Struct && !isScalar(v):
-		d.fields(path, n, v)
+		d.decodeStruct(path, n, v)
 	case v.Kind() == reflect.Slice:
-		d.items(path, n, v)
+		d.decodeSlice(path, n, v)
 	default:
-		d.scalar(path, n, v)
+		d.decodeScalar(path, n, v)
 	}
 }
 
@@ -138,35 +138,35 @@
 	return ok
 }
 
-// fields decodes a mapping into a struct.
-func (d *decoder) fields(path string, n ast.Node, v reflect.Value) {
+// decodeStruct decodes a mapping into a struct.
+func (d *decoder) decodeStruct(path string, n ast.Node, v reflect.Value) {
 	byTag := map[string]reflect.Value{}
 	for i := range v.NumField() {
 		tag, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("yaml"), ",")
 		byTag[tag] = v.Field(i)
 	}
-	for _, m := range pairs(n) {
+	for _, m := range mappingEntries(n) {
 		key := m.Key.GetToken().Value
 		at := key
 		if path != "" {
 			at = path + "." + key
 		}
-		d.note(at, m.Key)
+		d.recordPosition(at, m.Key)
 		f, ok := byTag[key]
 		if !ok {
 			d.add(at, "is an unknown field")
 			continue
 		}
-		d.value(at, m.Value, f)
+		d.decodeValue(at, m.Value, f)
 	}
-	if _, ok := n.(*ast.MappingNode); !ok && pairs(n) == nil {
+	if _, ok := n.(*ast.MappingNode); !ok && mappingEntries(n) == nil {
 		d.fail(path, "must be a mapping")
 	}
 }
 
-// pairs returns the entries of a mapping. The parser represents a mapping of one
-// entry as the entry itself.
-func pairs(n ast.Node) []*ast.MappingValueNode {
+// mappingEntries returns the entries of a mapping. The parser represents a
+// mapping of one entry as the entry itself.
+func mappingEntries(n ast.Node) []*ast.MappingValueNode {
 	switch m := n.(type) {
 	case *ast.MappingNode:
 		return m.Values
@@ -176,8 +176,8 @@
 	return nil
 }
 
-// items decodes a sequence into a slice.
-func (d *decoder) items(path string, n ast.Node, v reflect.Value) {
+// decodeSlice decodes a sequence into a slice.
+func (d *decoder) decodeSlice(path string, n ast.Node, v reflect.Value) {
 	s, ok := n.(*ast.SequenceNode)
 	if !ok {
 		d.fail(path, "must be a list")
@@ -185,25 +185,25 @@
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(s.Values), len(s.Values)))
 	for i, x := range s.Values {
-		d.value(fmt.Sprintf("%s[%d]", path, i), x, v.Index(i))
+		d.decodeValue(fmt.Sprintf("%s[%d]", path, i), x, v.Index(i))
 	}
 }
 
-// scalar decodes a single value from its text. The library's own conversion of
-// a node formats the whole document for each value and thus takes quadratic time
-// in the length of the bundle: 11 s for 870 services.
-func (d *decoder) scalar(path string, n ast.Node, v reflect.Value) {
+// decodeScalar decodes a single value from its text. The library's own
+// conversion of a node formats the whole document for each value and thus takes
+// quadratic time in the length of the bundle: 11 s for 870 services.
+func (d *decoder) decodeScalar(path string, n ast.Node, v reflect.Value) {
 	if _, ok := n.(ast.ScalarNode); !ok || n.GetToken() == nil {
 		d.fail(path, "must be a single value")
 		return
 	}
-	if err := setText(v, n.GetToken().Value); err != nil {
+	if err := setFromText(v, n.GetToken().Value); err != nil {
 		d.fail(path, err.Error())
 	}
 }
 
-// setText sets v to the value that the text represents.
-func setText(v reflect.Value, text string) error {
+// setFromText sets v to the value that the text represents.
+func setFromText(v reflect.Value, text string) error {
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		return u.UnmarshalText([]byte(text))
 	}
