--- a/standin/fabric.go
+++ b/standin/fabric.go
@@ -9,21 +9,23 @@
 	"time"
 )
 
-// Fabric hands each datagram of a caller to a random balancer, the dead ones
-// too until it is told. On a real site balancers answer callers from the
-// service's address; on loopback that address is the fabric's, so it gives each
-// caller a port towards the balancers and carries the answers back.
+// Fabric is the stand-in for the network fabric. It forwards each datagram of a
+// caller to a random balancer, including failed ones until Set removes them. On
+// a real site balancers answer callers from the service's address. On loopback
+// the fabric itself listens on that address, so it opens a socket towards the
+// balancers for each caller and forwards the answers to the caller.
 type Fabric struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// targets holds the balancers of each service.
 	targets map[netip.AddrPort][]netip.AddrPort
 	doors   map[netip.AddrPort]*door
 	wait    sync.WaitGroup
 
-	// Sprayed counts datagrams towards balancers, Returned those back.
+	// Sprayed counts datagrams sent to balancers, Returned those sent to callers.
 	Sprayed, Returned atomic.Uint64
 }
 
-// door is the fabric's socket on one service's address.
+// door is the fabric's socket on the address of one service.
 type door struct {
 	f       *Fabric
 	service netip.AddrPort
@@ -33,18 +35,23 @@
 	closed  bool
 }
 
-// caller is the fabric's memory of one caller.
+// caller is the fabric's state of one caller.
 type caller struct {
 	conn *net.UDPConn
+	// used is when the caller last sent a datagram, in Unix nanoseconds.
 	used atomic.Int64
-	// deafIn and deafOut drop what goes to the balancers or the caller.
+	// deafIn and deafOut drop the datagrams to the balancers or to the caller.
 	deafIn, deafOut atomic.Bool
 }
 
 const (
+	// callerIdle is how long the balancers may send nothing to a caller before the
+	// fabric drops the caller's state.
 	callerIdle = 60 * time.Second
-	datagram   = 2048
-	buffer     = 4 << 20
+	// datagram is the size of the buffer for one datagram, in bytes.
+	datagram = 2048
+	// buffer is the size of a socket's receive buffer, in bytes.
+	buffer = 4 << 20
 )
 
 // NewFabric returns a fabric without services.
@@ -52,7 +59,7 @@
 	return &Fabric{targets: map[netip.AddrPort][]netip.AddrPort{}, doors: map[netip.AddrPort]*door{}}
 }
 
-// Open starts serving the service's address.
+// Open starts listening on the service's address.
 func (f *Fabric) Open(service netip.AddrPort) error {
 	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(service))
 	if err != nil {
@@ -67,13 +74,14 @@
 	return nil
 }
 
-// Set gives the balancers' addresses for the service.
+// Set replaces the balancers' addresses of the service.
 func (f *Fabric) Set(service netip.AddrPort, to []netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.targets[service] = to
 }
 
+// pick returns a random balancer of the service; not ok if there is none.
 func (f *Fabric) pick(service netip.AddrPort) (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,8 +92,9 @@
 	return t[rand.IntN(len(t))], true
 }
 
-// Silence makes the path of the caller's address silent, towards the balancers,
-// back to the caller, or both.
+// Silence drops the datagrams of the caller at from: those to the balancers if
+// in is set, those to the caller if out is set. It reports whether the service
+// has such a caller.
 func (f *Fabric) Silence(service, from netip.AddrPort, in, out bool) bool {
 	f.mu.Lock()
 	d := f.doors[service]
@@ -104,7 +113,7 @@
 	return true
 }
 
-// Close stops all doors.
+// Close closes all sockets and waits until nothing is forwarded any more.
 func (f *Fabric) Close() {
 	f.mu.Lock()
 	for _, d := range f.doors {
@@ -124,6 +133,7 @@
 	}
 }
 
+// run forwards datagrams of callers to balancers until the socket is closed.
 func (d *door) run() {
 	b := make([]byte, datagram)
 	for {
@@ -142,6 +152,8 @@
 	}
 }
 
+// caller returns the state of the caller. For a new caller it opens a socket
+// towards the balancers; it returns nil if that fails or the fabric is closed.
 func (d *door) caller(from netip.AddrPort) *caller {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -163,7 +175,7 @@
 	return c
 }
 
-// back carries answers to the caller until it was idle for long.
+// back forwards answers to the caller until none has come for callerIdle.
 func (d *door) back(c *caller, to netip.AddrPort) {
 	b := make([]byte, datagram)
 	for {
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -1,6 +1,6 @@
-// Package standin has the small stand-ins for the systems that pomeloway meets:
-// the platform, the fabric and the upstreams. They are for tests, the demo and
-// trials by hand, never for real use.
+// Package standin implements small stand-ins for the external systems that
+// pomeloway works with: the platform, the network fabric and the upstreams. They
+// are for tests, the demo and manual trials, not for production.
 package standin
 
 import (
@@ -18,70 +18,76 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// Faults are the switches of the platform's stand-in.
+// Faults are the faults that the platform's stand-in simulates.
 type Faults struct {
-	// Outage refuses every call.
+	// Outage makes every call fail.
 	Outage bool `json:"outage"`
-	// Delay holds every call back.
+	// Delay delays every call.
 	Delay time.Duration `json:"delay"`
-	// LoseAnswers cuts the connection after a write has taken effect, for so
-	// many writes.
+	// LoseAnswers is the number of writes that take effect but whose connection
+	// is closed without an answer.
 	LoseAnswers int `json:"loseAnswers"`
 }
 
-// Counts are the calls that the platform's stand-in has taken.
+// Counts counts the calls that the platform's stand-in has received.
 type Counts struct {
 	Reads     uint64 `json:"reads"`
 	Writes    uint64 `json:"writes"`
 	Throttled uint64 `json:"throttled"`
 }
 
-// Platform is an object store in memory that speaks the platform's published
-// protocol. Its zero value works.
+// Platform is an in-memory object store that implements the platform's published
+// protocol. Its zero value is ready to use.
 type Platform struct {
-	// ReadLimit and WriteLimit are the budgets; nil means none.
+	// ReadLimit and WriteLimit limit the rate of calls; nil means no limit.
 	ReadLimit, WriteLimit *rate.Limiter
-	// Page is how many objects one answer lists, pageSize if zero.
+	// Page is the maximum number of objects in one list answer; pageSize if zero.
 	Page int
 
 	mu       sync.Mutex
 	revision platform.Revision
 	objects  map[key]platform.Object
 	history  []change
-	gone     platform.Revision
-	changed  chan struct{}
-	faults   Faults
-	counts   Counts
+	// gone is the revision up to which the history was dropped.
+	gone platform.Revision
+	// changed is closed and set to nil on each change; nil if nobody waits for it.
+	changed chan struct{}
+	faults  Faults
+	counts  Counts
 }
 
+// pageSize is the default of Platform.Page.
 const pageSize = 500
 
+// key identifies an object.
 type key struct {
 	kind platform.Kind
 	name string
 }
 
+// change is an entry of the history.
 type change struct {
 	kind  platform.Kind
 	at    platform.Revision
 	event platform.Event
 }
 
-// Set throws the switches.
+// Set replaces the simulated faults.
 func (p *Platform) Set(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 }
 
-// Counts returns the calls taken so far.
+// Counts returns the numbers of calls received so far.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// Forget drops the history, so that watches from before it are told to list.
+// Forget drops the history, so that watches from earlier revisions are answered
+// with status 410 and clients must list again.
 func (p *Platform) Forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +97,8 @@
 
 const objectsPath = "/pomeloway/objects/"
 
-// ServeHTTP serves the object API and, below /standin/, the switches.
+// ServeHTTP serves the object API and, below /standin/, the simulated faults and
+// the counts.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/standin/faults":
@@ -131,7 +138,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// admit counts the call and applies budget, outage and delay.
+// admit counts the call and applies the rate limit, outage and delay. It reports
+// whether the call may go on; if not, it has been answered or canceled.
 func (p *Platform) admit(w http.ResponseWriter, r *http.Request) bool {
 	l := p.ReadLimit
 	p.mu.Lock()
@@ -226,8 +234,9 @@
 	}
 }
 
-// since returns the changes of the kind after the revision, and what is closed
-// at the next one; it is not ok if the history does not go back so far.
+// since returns the changes of the kind after the revision and a channel that is
+// closed at the next change. It is not ok if the history does not go back to the
+// revision.
 func (p *Platform) since(k platform.Kind, at platform.Revision) (platform.Changes, <-chan struct{}, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -267,8 +276,8 @@
 	writeJSON(w, status, o)
 }
 
-// apply makes the write if its condition holds, and returns the object as it is
-// then with the status of the answer.
+// apply performs the write if its condition holds. It returns the object as it is
+// then, the status of the answer, and whether the answer is to be lost.
 func (p *Platform) apply(method string, k key, in platform.Object) (_ platform.Object, status int, lose bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -297,7 +306,8 @@
 	return next, http.StatusOK, false
 }
 
-// changed returns the object after the write, and whether it is removed.
+// changed returns the object after the write and whether the write removes it. An
+// object is removed once its deletion is pending and it has no finalizers.
 func changed(method string, cur, in platform.Object, status bool) (platform.Object, bool) {
 	o := cur
 	switch {
@@ -311,12 +321,14 @@
 	return o, o.Meta.DeletionPending && len(o.Meta.Finalizers) == 0
 }
 
+// same reports whether the objects are equal as JSON.
 func same(a, b platform.Object) bool {
 	x, _ := json.Marshal(a)
 	y, _ := json.Marshal(b)
 	return string(x) == string(y)
 }
 
+// keep stores or removes the object under a new revision and records the change.
 func (p *Platform) keep(k key, o platform.Object, removed bool) platform.Object {
 	if p.objects == nil {
 		p.objects = map[key]platform.Object{}
@@ -336,6 +348,7 @@
 	return o
 }
 
+// wake makes all waiting watches read the history again.
 func (p *Platform) wake() {
 	if p.changed != nil {
 		close(p.changed)
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -17,13 +17,13 @@
 	"time"
 )
 
-// Ledger counts how often each order was run, over all upstreams that share it.
+// Ledger counts how often each order was run by all upstreams that share it.
 type Ledger struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// Run notes one run of the order and returns how many there were.
+// Run records a run of the order and returns the number of its runs so far.
 func (l *Ledger) Run(order string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,45 +54,52 @@
 	return n
 }
 
-// Upstream is a back end with slots, cold start, drain and shedding. Its work
-// takes Work, and five times as long while it is cold.
+// Upstream is a back end with slots, cold start, drain and load shedding. A
+// request takes the time Work, and five times as long while the upstream is cold.
 type Upstream struct {
 	Service, Name, Zone string
 	Slots               int
-	// ColdSlots is what it bears cold, ColdAnswers the answers that double it.
+	// ColdSlots is the initial limit of concurrent requests while the upstream is
+	// cold. Each time ColdAnswers requests have succeeded the limit doubles, up to
+	// Slots.
 	ColdSlots, ColdAnswers int
 	Work                   time.Duration
 	Ledger                 *Ledger
 
-	mu      sync.Mutex
-	bears   int
+	mu sync.Mutex
+	// bears is the current limit of concurrent requests; zero before the first.
+	bears int
+	// answers counts the requests that succeeded since the limit last changed.
 	answers int
 	warning warning
-	// turns counts the times it turned cold; work begun before the last one
-	// tells nothing of it.
+	// turns counts how often the upstream turned cold. Requests that began before
+	// the last time don't count towards raising the limit.
 	turns int
-	// pieces is the work under way.
-	pieces   map[*piece]struct{}
+	// pieces holds the running requests.
+	pieces map[*piece]struct{}
+	// over holds messages about requests beyond the limit.
 	over     []string
 	draining bool
 	waiting  *pair
 	cross    atomic.Bool
 
-	// OverSlots and OverCold count work beyond what it bears; OverWarned only
-	// the part of OverCold that came although its answers had told that it is
-	// cold. Misrouted counts requests for another service.
+	// OverSlots counts requests beyond the slots, OverCold those beyond the limit
+	// of the cold upstream. OverWarned counts only those of OverCold whose client
+	// had been warned by earlier responses that the upstream is cold. Misrouted
+	// counts requests for another service.
 	OverSlots, OverCold, OverWarned, Misrouted, Served atomic.Uint64
-	// LastWork is when work last began, LastSent when a feed's line was last
-	// sent, in Unix nanoseconds.
+	// LastWork is when a request last began, LastSent when a line of a feed was
+	// last sent, in Unix nanoseconds.
 	LastWork, LastSent atomic.Int64
-	// Feeds counts the feeds that are open.
+	// Feeds is the number of open feeds.
 	Feeds atomic.Int64
 }
 
-// coldFactor is how much longer work takes a cold upstream.
+// coldFactor is how much longer a request takes while the upstream is cold.
 const coldFactor = 5
 
-// TurnCold makes the upstream cold; without warning if it was serving.
+// TurnCold makes the upstream cold. Clients are not told; they can only know from
+// its responses.
 func (u *Upstream) TurnCold() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -101,33 +108,36 @@
 	u.turns++
 }
 
-// Drain makes the health end point say that the upstream drains.
+// Drain sets whether the health endpoint reports that the upstream is draining.
 func (u *Upstream) Drain(v bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.draining = v
 }
 
-// Cross makes it swap the answers of two requests now and then.
+// Cross sets whether the upstream swaps the answers of two screen requests that
+// arrive shortly after one another.
 func (u *Upstream) Cross(v bool) { u.cross.Store(v) }
 
-// Cold reports whether it bears less than its slots.
+// Cold reports whether the upstream is cold: its limit is below its slots.
 func (u *Upstream) Cold() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.bears < u.Slots
 }
 
-// piece is one piece of work that was begun.
+// piece is a running request.
 type piece struct {
 	ctx   context.Context
 	began time.Time
 	path  string
-	// turn is the turn to the cold in which it was begun.
+	// turn is the value of Upstream.turns when the request began.
 	turn int
 }
 
-// begin admits one piece of work, or sheds it.
+// begin registers a request and returns how long it takes. It is not ok if the
+// request is beyond the limit and must be shed. In either case the caller must
+// call end.
 func (u *Upstream) begin(r *http.Request) (p *piece, took time.Duration, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -160,38 +170,41 @@
 	return p, u.Work, true
 }
 
-// maxOver bounds the notes on work beyond what is borne.
+// maxOver is the maximum number of messages about requests beyond the limit.
 const maxOver = 3
 
-// noteOver keeps what was under way when there was too much; u.mu is held.
+// noteOver records the requests that run when there are too many. The caller holds
+// u.mu.
 func (u *Upstream) noteOver(beyond string) {
 	if len(u.over) >= maxOver {
 		return
 	}
 	var under []string
 	for p := range u.pieces {
-		under = append(under, fmt.Sprintf("%s %v broken %t turn %d", p.path, time.Since(p.began).Round(time.Millisecond), p.ctx.Err() != nil, p.turn))
+		under = append(under, fmt.Sprintf("%s %v canceled %t cold start %d", p.path, time.Since(p.began).Round(time.Millisecond), p.ctx.Err() != nil, p.turn))
 	}
 	slices.Sort(under)
-	u.over = append(u.over, fmt.Sprintf("beyond %s: upstream %s bears %d, turn %d, %d answers, %s, under way: %s",
+	u.over = append(u.over, fmt.Sprintf("requests beyond %s: upstream %s has limit %d, cold start %d, %d answers, client %s, running: %s",
 		beyond, u.Name, u.bears, u.turns, u.answers, u.warning.ago(), strings.Join(under, "; ")))
 }
 
-// Over returns notes on the work beyond what it bears.
+// Over returns messages about requests beyond the limit.
 func (u *Upstream) Over() []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return slices.Clone(u.over)
 }
 
-// Heard notes an answer that the upstream's client has got. Nobody is held to know of
-// an unannounced turn without it.
+// Heard records a response that the upstream's client has received. A client counts
+// as warned that the upstream turned cold only through the responses recorded here.
 func (u *Upstream) Heard(h Heard) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.warning.heard(h, u.bears < u.Slots)
 }
 
+// end removes a request. A successful request of a cold upstream counts towards
+// raising the limit.
 func (u *Upstream) end(p *piece, good bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -208,7 +221,7 @@
 	}
 }
 
-// streamsMost is how many requests one connection over HTTP/2 may carry.
+// streamsMost is the maximum number of concurrent requests on an HTTP/2 connection.
 const streamsMost = 1000
 
 // NewServer returns a server that speaks HTTP/1.1 and HTTP/2, both without TLS.
@@ -224,7 +237,7 @@
 	m := http.NewServeMux()
 	m.HandleFunc("GET /healthz", u.health)
 	m.HandleFunc("GET /load", func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprintln(w, rand.IntN(max(u.Slots, 1))) // lags and misleads
+		fmt.Fprintln(w, rand.IntN(max(u.Slots, 1))) // meaningless, as a load report may be stale or wrong
 	})
 	m.HandleFunc("GET /feed", u.feed)
 	m.HandleFunc("GET /screen", u.screen)
@@ -250,7 +263,7 @@
 	fmt.Fprintln(w, "ok")
 }
 
-// header sets what every answer carries and counts requests of other services.
+// header sets the headers of every answer and counts requests for other services.
 func (u *Upstream) header(w http.ResponseWriter, r *http.Request) {
 	if want := r.Header.Get("Want-Service"); want != "" && want != u.Service {
 		u.Misrouted.Add(1)
@@ -260,6 +273,8 @@
 	w.Header().Set("Upstream-Zone", u.Zone)
 }
 
+// work waits for as long as the request takes. It is not ok if the request was shed,
+// which it answers with status 503, or canceled; then work has already called end.
 func (u *Upstream) work(w http.ResponseWriter, r *http.Request) (p *piece, ok bool) {
 	u.header(w, r)
 	p, d, ok := u.begin(r)
@@ -288,7 +303,7 @@
 	Last     bool   `json:"last,omitempty"`
 }
 
-// feed sends a line every interval, lines in all.
+// feed sends a number of lines at an interval, both given in the query.
 func (u *Upstream) feed(w http.ResponseWriter, r *http.Request) {
 	p, ok := u.work(w, r)
 	if !ok {
@@ -315,7 +330,7 @@
 	u.Served.Add(1)
 }
 
-// Reply is the answer to a screen or an order.
+// Reply is the answer to a screen, an order or an upload.
 type Reply struct {
 	Service  string `json:"service"`
 	Upstream string `json:"upstream"`
@@ -326,6 +341,7 @@
 	SHA256   string `json:"sha256,omitempty"`
 }
 
+// reply completes v with the upstream's names and sends it.
 func (u *Upstream) reply(w http.ResponseWriter, v Reply) {
 	v.Service, v.Upstream, v.Zone = u.Service, u.Name, u.Zone
 	u.Served.Add(1)
@@ -346,18 +362,20 @@
 	u.reply(w, Reply{Caller: c.caller})
 }
 
-// crossing is what makes an answer that of one request.
+// crossing is the part of an answer that identifies its request.
 type crossing struct{ id, caller string }
 
+// crossWindow is how long an answer waits for another one to be swapped with.
 const crossWindow = 30 * time.Millisecond
 
-// pair is two requests whose answers are exchanged.
+// pair is two requests whose answers are swapped.
 type pair struct {
 	first, second crossing
 	met           chan struct{}
 }
 
-// swap exchanges the answer with that of another request, if one comes soon.
+// swap returns the identity of another request if one arrives within crossWindow,
+// and c otherwise.
 func (u *Upstream) swap(c crossing) crossing {
 	u.mu.Lock()
 	if p := u.waiting; p != nil {
@@ -384,7 +402,7 @@
 	return p.second
 }
 
-// order runs an order: the ledger is what it does to the world.
+// order runs an order. Its only side effect is the entry in the ledger.
 func (u *Upstream) order(w http.ResponseWriter, r *http.Request) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -412,7 +430,7 @@
 	u.reply(w, Reply{Caller: r.URL.Query().Get("caller"), SHA256: hex.EncodeToString(h.Sum(nil))})
 }
 
-// echo sends the request's body back as it comes.
+// echo sends the request body back while it receives it.
 func (u *Upstream) echo(w http.ResponseWriter, r *http.Request) {
 	p, ok := u.work(w, r)
 	if !ok {
--- a/standin/warning.go
+++ b/standin/warning.go
@@ -1,8 +1,9 @@
-// This file judges whether an upstream's client could know that the upstream had turned
-// cold without warning: it must have got a shed answer, or several in a row that were
-// much slower than those before. Slowness is taken as the client sees it, since on a
-// busy machine much of it isn't the upstream's. Of turns of an upstream that was cold
-// already only a shed answer tells.
+// This file decides whether the client of an upstream could know that the upstream had
+// turned cold unannounced. It could if it received a shed response, or several responses
+// in a row that were much slower than those of the warm upstream. Response times are
+// measured at the client because on a busy machine much of the delay is not the
+// upstream's. If the upstream turned cold while it was already cold, its responses had
+// been slow before, so only a shed response counts.
 
 package standin
 
@@ -14,20 +15,22 @@
 )
 
 const (
-	// enoughSlow is how many slow answers in a row tell.
+	// enoughSlow is how many slow responses in a row warn the client.
 	enoughSlow = 3
-	// slowFactor over the mean of the answers before makes an answer slow.
+	// slowFactor times the mean response time of the warm upstream is slow.
 	slowFactor = 4
-	// enoughUsual is how many answers make a mean to compare with.
+	// enoughUsual is how many responses of the warm upstream the mean needs.
 	enoughUsual = 16
-	// reaction is the client's time to act on an answer that it has got.
+	// reaction is the time that a client may take to act on a response.
 	reaction = 100 * time.Millisecond
 )
 
-// HeaderSent carries the moment at which a client sent a request, in Unix nanoseconds.
+// HeaderSent is the header with the time at which a client sent a request, in Unix
+// nanoseconds.
 const HeaderSent = "Standin-Sent"
 
-// sentAt returns when the client sent the request, or now if it doesn't say.
+// sentAt returns when the client sent the request, or the current time if the request
+// has no valid HeaderSent.
 func sentAt(r *http.Request) time.Time {
 	n, err := strconv.ParseInt(r.Header.Get(HeaderSent), 10, 64)
 	if err != nil {
@@ -36,40 +39,51 @@
 	return time.Unix(0, n)
 }
 
-// Heard is an answer that an upstream's client has got.
+// Heard describes a response that the client of an upstream has received.
 type Heard struct {
-	// Sent is when the request left, Took the time to the answer's first byte.
+	// Sent is when the request was sent, Took the time to the first byte of the
+	// response.
 	Sent time.Time
 	Took time.Duration
-	// Short says that the request was short, so that the time says something.
+	// Short reports whether the request was short. Only then does Took show whether
+	// the upstream is slow.
 	Short bool
-	// Shed says that the upstream did not run the request.
+	// Shed reports whether the upstream shed the request instead of running it.
 	Shed bool
 }
 
-// warning is what a client has heard of an upstream's turn to the cold.
+// warning tracks whether the responses of an upstream have warned its client that the
+// upstream turned cold.
 type warning struct {
 	// since is when the upstream turned cold or became warm.
 	since time.Time
-	// deaf says that slow answers tell nothing: those before were slow already.
-	deaf  bool
+	// deaf reports whether slow responses are ignored because the upstream was
+	// already cold when it turned cold.
+	deaf bool
+	// given is when the client was warned, or zero.
 	given time.Time
-	slow  int
-	// usual is the ring of the last answers of the warm upstream.
+	// slow counts slow responses in a row.
+	slow int
+	// usual is a ring buffer of the latest response times of the warm upstream.
 	usual [enoughUsual]time.Duration
+	// count counts all responses of the warm upstream.
 	count int
 }
 
-// announce notes that the client knows from the start.
+// announce records that the client knows from the start that the upstream is cold.
 func (w *warning) announce() { w.given = time.Now() }
 
+// turnCold records that the upstream has turned cold, unannounced.
 func (w *warning) turnCold(wasCold bool) {
 	w.since, w.deaf, w.given, w.slow = time.Now(), wasCold, time.Time{}, 0
 }
 
+// warm records that the upstream has become warm.
 func (w *warning) warm() { w.since = time.Now() }
 
-// heard learns from an answer of the upstream, which is cold or warm.
+// heard records a response that the client received while the upstream was cold or
+// warm. It ignores requests sent before the upstream last turned cold or warm, and long
+// requests that were not shed.
 func (w *warning) heard(h Heard, cold bool) {
 	switch {
 	case h.Sent.Before(w.since), !h.Short && !h.Shed:
@@ -90,6 +104,7 @@
 	}
 }
 
+// isSlow reports whether a response time is slow compared with the warm upstream.
 func (w *warning) isSlow(d time.Duration) bool {
 	var sum time.Duration
 	for _, u := range w.usual {
@@ -98,7 +113,7 @@
 	return w.count >= enoughUsual && d >= slowFactor*sum/enoughUsual
 }
 
-// ago returns how long ago the warning was given, for notes.
+// ago describes how long ago the client was warned, for messages.
 func (w *warning) ago() string {
 	if w.given.IsZero() {
 		return "not warned"
@@ -106,7 +121,8 @@
 	return fmt.Sprintf("warned %v ago", time.Since(w.given).Round(time.Millisecond))
 }
 
-// warned reports whether a request was sent by a client that knew.
+// warned reports whether the client had been warned, and had had time to react, when
+// it sent a request at the given time.
 func (w *warning) warned(sent time.Time) bool {
 	return !w.given.IsZero() && sent.Sub(w.given) > reaction
 }
--- a/standin/warning_test.go
+++ b/standin/warning_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Guards against a judge that holds a client to what it could not know, and against one
-// that lets it off what it had heard.
+// A client must not be blamed for load on a cold upstream before the responses showed
+// that it is cold, and must be blamed afterwards. The test guards against a check that
+// warns too early, or not at all.
 func TestClientIsWarnedByWhatItHasHeard(t *testing.T) {
 	const usual, slow = 20 * time.Millisecond, 100 * time.Millisecond
 	for name, x := range map[string]struct {
@@ -19,13 +20,13 @@
 		answers []Heard
 		warned  bool
 	}{
-		"nothing heard":                   {usual, enoughUsual, false, nil, false},
+		"no answers":                      {usual, enoughUsual, false, nil, false},
 		"slow answers":                    {usual, enoughUsual, false, shorts(slow, slow, slow), true},
 		"too few slow answers":            {usual, enoughUsual, false, shorts(slow, slow), false},
 		"slow answers not in a row":       {usual, enoughUsual, false, shorts(slow, slow, usual, slow), false},
 		"slow answers of long requests":   {usual, enoughUsual, false, []Heard{{Took: slow}, {Took: slow}, {Took: slow}}, false},
-		"slow answers as they were":       {slow / 2, enoughUsual, false, shorts(slow, slow, slow), false},
-		"slow answers, nothing before":    {usual, 1, false, shorts(slow, slow, slow), false},
+		"answers twice as slow as before": {slow / 2, enoughUsual, false, shorts(slow, slow, slow), false},
+		"slow answers, too few before":    {usual, 1, false, shorts(slow, slow, slow), false},
 		"slow answers, cold before":       {usual, enoughUsual, true, shorts(slow, slow, slow), false},
 		"one shed answer":                 {usual, enoughUsual, false, []Heard{{Shed: true}}, true},
 		"one shed answer, cold before":    {usual, enoughUsual, true, []Heard{{Shed: true}}, true},
@@ -40,23 +41,23 @@
 				}
 				time.Sleep(time.Second)
 				w.turnCold(x.deaf)
-				w.heard(Heard{Sent: time.Now().Add(-time.Second), Shed: true}, true) // of before the turn
+				w.heard(Heard{Sent: time.Now().Add(-time.Second), Shed: true}, true) // sent before it turned cold
 				for _, h := range x.answers {
 					h.Sent = time.Now()
 					w.heard(h, true)
 				}
 				if w.warned(time.Now().Add(reaction)) {
-					t.Error("it had no time to react")
+					t.Error("warned before the client had time to react")
 				}
 				if got := w.warned(time.Now().Add(reaction + 1)); got != x.warned {
-					t.Errorf("warned %t", got)
+					t.Errorf("warned = %t, want the opposite", got)
 				}
 			})
 		})
 	}
 }
 
-// shorts returns answers to short requests that took so long.
+// shorts returns responses to short requests with the given response times.
 func shorts(took ...time.Duration) []Heard {
 	var out []Heard
 	for _, d := range took {
@@ -65,7 +66,8 @@
 	return out
 }
 
-// Guards against work beyond the slots that leaves no trace of what it ran beside.
+// A request beyond the slots must be counted and recorded together with the requests
+// that ran at the same time; without the record its cause can't be found.
 func TestWorkBeyondTheSlotsIsNoted(t *testing.T) {
 	u := &Upstream{Slots: 1, Work: time.Millisecond}
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/screen", nil)
@@ -74,6 +76,6 @@
 	u.end(second, false)
 	u.end(first, true)
 	if ok || u.OverSlots.Load() != 1 || len(u.Over()) != 1 {
-		t.Errorf("taken %t, beyond the slots %d, notes %q", ok, u.OverSlots.Load(), u.Over())
+		t.Errorf("second request admitted %t, OverSlots %d, notes %q; want it shed, counted and noted once", ok, u.OverSlots.Load(), u.Over())
 	}
 }
--- a/standin/wire.go
+++ b/standin/wire.go
@@ -6,13 +6,15 @@
 	"net/http/httptest"
 )
 
-// Wire calls a handler without a network, so that it works under a paused
-// clock. An aborted handler shows as a lost answer.
+// Wire is an http.RoundTripper that calls a handler directly. Without a network
+// it also works under the fake clock of testing/synctest. If the handler aborts
+// the response, RoundTrip returns an error.
 type Wire struct{ Handler http.Handler }
 
-var errCut = errors.New("connection was cut")
+// errCut is what a client gets if the handler panics with http.ErrAbortHandler.
+var errCut = errors.New("connection was closed before the response")
 
-// RoundTrip calls the handler.
+// RoundTrip calls the handler and returns its response.
 func (w Wire) RoundTrip(r *http.Request) (a *http.Response, err error) {
 	defer func() {
 		if x := recover(); x != nil {
