--- a/standin/fabric.go
+++ b/standin/fabric.go
@@ -16,17 +16,17 @@
 // balancers for each caller and forwards the answers to the caller.
 type Fabric struct {
 	mu sync.Mutex
-	// targets holds the balancers of each service.
-	targets map[netip.AddrPort][]netip.AddrPort
-	doors   map[netip.AddrPort]*door
-	wait    sync.WaitGroup
+	// balancers holds the balancers of each service.
+	balancers map[netip.AddrPort][]netip.AddrPort
+	listeners map[netip.AddrPort]*listener
+	wait      sync.WaitGroup
 
 	// Sprayed counts datagrams sent to balancers, Returned those sent to callers.
 	Sprayed, Returned atomic.Uint64
 }
 
-// door is the fabric's socket on the address of one service.
-type door struct {
+// listener is the fabric's socket on the address of one service.
+type listener struct {
 	f       *Fabric
 	service netip.AddrPort
 	conn    *net.UDPConn
@@ -38,25 +38,25 @@
 // caller is the fabric's state of one caller.
 type caller struct {
 	conn *net.UDPConn
-	// used is when the caller last sent a datagram, in Unix nanoseconds.
-	used atomic.Int64
-	// deafIn and deafOut drop the datagrams to the balancers or to the caller.
-	deafIn, deafOut atomic.Bool
+	// lastSent is when the caller last sent a datagram, in Unix nanoseconds.
+	lastSent atomic.Int64
+	// dropIn and dropOut drop the datagrams to the balancers or to the caller.
+	dropIn, dropOut atomic.Bool
 }
 
 const (
-	// callerIdle is how long the balancers may send nothing to a caller before the
-	// fabric drops the caller's state.
-	callerIdle = 60 * time.Second
-	// datagram is the size of the buffer for one datagram, in bytes.
-	datagram = 2048
-	// buffer is the size of a socket's receive buffer, in bytes.
-	buffer = 4 << 20
+	// callerIdleTimeout is how long the balancers may send nothing to a caller
+	// before the fabric drops the caller's state.
+	callerIdleTimeout = 60 * time.Second
+	// datagramBufferSize is the size of the buffer for one datagram, in bytes.
+	datagramBufferSize = 2048
+	// receiveBufferSize is the size of a socket's receive buffer, in bytes.
+	receiveBufferSize = 4 << 20
 )
 
 // NewFabric returns a fabric without services.
 func NewFabric() *Fabric {
-	return &Fabric{targets: map[netip.AddrPort][]netip.AddrPort{}, doors: map[netip.AddrPort]*door{}}
+	return &Fabric{balancers: map[netip.AddrPort][]netip.AddrPort{}, listeners: map[netip.AddrPort]*listener{}}
 }
 
 // Open starts listening on the service's address.
@@ -65,12 +65,12 @@
 	if err != nil {
 		return err
 	}
-	c.SetReadBuffer(buffer)
-	d := &door{f: f, service: service, conn: c, callers: map[netip.AddrPort]*caller{}}
+	c.SetReadBuffer(receiveBufferSize)
+	d := &listener{f: f, service: service, conn: c, callers: map[netip.AddrPort]*caller{}}
 	f.mu.Lock()
-	f.doors[service] = d
+	f.listeners[service] = d
 	f.mu.Unlock()
-	f.wait.Go(d.run)
+	f.wait.Go(d.forwardRequests)
 	return nil
 }
 
@@ -78,14 +78,14 @@
 func (f *Fabric) Set(service netip.AddrPort, to []netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.targets[service] = to
+	f.balancers[service] = to
 }
 
-// pick returns a random balancer of the service; not ok if there is none.
-func (f *Fabric) pick(service netip.AddrPort) (netip.AddrPort, bool) {
+// pickBalancer returns a random balancer of the service; not ok if there is none.
+func (f *Fabric) pickBalancer(service netip.AddrPort) (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := f.targets[service]
+	t := f.balancers[service]
 	if len(t) == 0 {
 		return netip.AddrPort{}, false
 	}
@@ -97,7 +97,7 @@
 // has such a caller.
 func (f *Fabric) Silence(service, from netip.AddrPort, in, out bool) bool {
 	f.mu.Lock()
-	d := f.doors[service]
+	d := f.listeners[service]
 	f.mu.Unlock()
 	if d == nil {
 		return false
@@ -108,22 +108,22 @@
 	if c == nil {
 		return false
 	}
-	c.deafIn.Store(in)
-	c.deafOut.Store(out)
+	c.dropIn.Store(in)
+	c.dropOut.Store(out)
 	return true
 }
 
 // Close closes all sockets and waits until nothing is forwarded any more.
 func (f *Fabric) Close() {
 	f.mu.Lock()
-	for _, d := range f.doors {
+	for _, d := range f.listeners {
 		d.close()
 	}
 	f.mu.Unlock()
 	f.wait.Wait()
 }
 
-func (d *door) close() {
+func (d *listener) close() {
 	d.conn.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -133,20 +133,21 @@
 	}
 }
 
-// run forwards datagrams of callers to balancers until the socket is closed.
-func (d *door) run() {
-	b := make([]byte, datagram)
+// forwardRequests forwards datagrams of callers to balancers until the socket is
+// closed.
+func (d *listener) forwardRequests() {
+	b := make([]byte, datagramBufferSize)
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(b)
 		if err != nil {
 			return
 		}
 		c := d.caller(from)
-		to, ok := d.f.pick(d.service)
-		if c == nil || !ok || c.deafIn.Load() {
+		to, ok := d.f.pickBalancer(d.service)
+		if c == nil || !ok || c.dropIn.Load() {
 			continue
 		}
-		c.used.Store(time.Now().UnixNano())
+		c.lastSent.Store(time.Now().UnixNano())
 		d.f.Sprayed.Add(1)
 		c.conn.WriteToUDPAddrPort(b[:n], to)
 	}
@@ -154,7 +155,7 @@
 
 // caller returns the state of the caller. For a new caller it opens a socket
 // towards the balancers; it returns nil if that fails or the fabric is closed.
-func (d *door) caller(from netip.AddrPort) *caller {
+func (d *listener) caller(from netip.AddrPort) *caller {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c := d.callers[from]; c != nil {
@@ -167,24 +168,25 @@
 	if err != nil {
 		return nil
 	}
-	s.SetReadBuffer(buffer)
+	s.SetReadBuffer(receiveBufferSize)
 	c := &caller{conn: s}
-	c.used.Store(time.Now().UnixNano())
+	c.lastSent.Store(time.Now().UnixNano())
 	d.callers[from] = c
-	d.f.wait.Go(func() { d.back(c, from) })
+	d.f.wait.Go(func() { d.forwardAnswers(c, from) })
 	return c
 }
 
-// back forwards answers to the caller until none has come for callerIdle.
-func (d *door) back(c *caller, to netip.AddrPort) {
-	b := make([]byte, datagram)
+// forwardAnswers forwards answers to the caller until none has come for
+// callerIdleTimeout.
+func (d *listener) forwardAnswers(c *caller, to netip.AddrPort) {
+	b := make([]byte, datagramBufferSize)
 	for {
-		c.conn.SetReadDeadline(time.Now().Add(callerIdle))
+		c.conn.SetReadDeadline(time.Now().Add(callerIdleTimeout))
 		n, _, err := c.conn.ReadFromUDPAddrPort(b)
 		if err != nil {
 			break
 		}
-		if c.deafOut.Load() {
+		if c.dropOut.Load() {
 			continue
 		}
 		d.f.Returned.Add(1)
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -48,8 +48,8 @@
 	revision platform.Revision
 	objects  map[key]platform.Object
 	history  []change
-	// gone is the revision up to which the history was dropped.
-	gone platform.Revision
+	// droppedUpTo is the revision up to which the history was dropped.
+	droppedUpTo platform.Revision
 	// changed is closed and set to nil on each change; nil if nobody waits for it.
 	changed chan struct{}
 	faults  Faults
@@ -91,8 +91,8 @@
 func (p *Platform) Forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.gone, p.history = p.revision, nil
-	p.wake()
+	p.droppedUpTo, p.history = p.revision, nil
+	p.wakeWatches()
 }
 
 const objectsPath = "/pomeloway/objects/"
@@ -112,12 +112,12 @@
 		return
 	}
 	rest, ok := strings.CutPrefix(r.URL.Path, objectsPath)
-	kind, name, one := strings.Cut(rest, "/")
+	kind, name, hasName := strings.Cut(rest, "/")
 	k := key{platform.Kind(kind), name}
 	switch {
 	case !ok:
 		http.NotFound(w, r)
-	case r.Method == http.MethodGet && one:
+	case r.Method == http.MethodGet && hasName:
 		p.get(w, k)
 	case r.Method == http.MethodGet && r.URL.Query().Has("watch"):
 		p.watch(w, r, k.kind)
@@ -249,7 +249,7 @@
 			x.Events = append(x.Events, h.event)
 		}
 	}
-	return x, p.changed, at >= p.gone
+	return x, p.changed, at >= p.droppedUpTo
 }
 
 func (p *Platform) serveWrite(w http.ResponseWriter, r *http.Request, k key) {
@@ -269,8 +269,8 @@
 		n, _ := strconv.ParseUint(q, 10, 64)
 		in.Meta.Revision = platform.Revision(n)
 	}
-	o, status, lose := p.apply(r.Method, k, in)
-	if lose {
+	o, status, loseAnswer := p.apply(r.Method, k, in)
+	if loseAnswer {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, status, o)
@@ -278,7 +278,7 @@
 
 // apply performs the write if its condition holds. It returns the object as it is
 // then, the status of the answer, and whether the answer is to be lost.
-func (p *Platform) apply(method string, k key, in platform.Object) (_ platform.Object, status int, lose bool) {
+func (p *Platform) apply(method string, k key, in platform.Object) (_ platform.Object, status int, loseAnswer bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	part, isStatus := strings.CutSuffix(k.name, "/status")
@@ -294,10 +294,10 @@
 	case exists && in.Meta.Revision != 0 && in.Meta.Revision != cur.Meta.Revision:
 		return cur, http.StatusConflict, false
 	}
-	next, removed := changed(method, cur, in, isStatus)
+	next, removed := updatedObject(method, cur, in, isStatus)
 	next.Meta.Name = k.name
-	if removed || !same(cur, next) || !exists {
-		next = p.keep(k, next, removed)
+	if removed || !equalAsJSON(cur, next) || !exists {
+		next = p.store(k, next, removed)
 	}
 	if p.faults.LoseAnswers > 0 {
 		p.faults.LoseAnswers--
@@ -306,9 +306,9 @@
 	return next, http.StatusOK, false
 }
 
-// changed returns the object after the write and whether the write removes it. An
-// object is removed once its deletion is pending and it has no finalizers.
-func changed(method string, cur, in platform.Object, status bool) (platform.Object, bool) {
+// updatedObject returns the object after the write and whether the write removes
+// it. An object is removed once its deletion is pending and it has no finalizers.
+func updatedObject(method string, cur, in platform.Object, status bool) (platform.Object, bool) {
 	o := cur
 	switch {
 	case method == http.MethodDelete:
@@ -321,15 +321,15 @@
 	return o, o.Meta.DeletionPending && len(o.Meta.Finalizers) == 0
 }
 
-// same reports whether the objects are equal as JSON.
-func same(a, b platform.Object) bool {
+// equalAsJSON reports whether the objects are equal as JSON.
+func equalAsJSON(a, b platform.Object) bool {
 	x, _ := json.Marshal(a)
 	y, _ := json.Marshal(b)
 	return string(x) == string(y)
 }
 
-// keep stores or removes the object under a new revision and records the change.
-func (p *Platform) keep(k key, o platform.Object, removed bool) platform.Object {
+// store saves or removes the object under a new revision and records the change.
+func (p *Platform) store(k key, o platform.Object, removed bool) platform.Object {
 	if p.objects == nil {
 		p.objects = map[key]platform.Object{}
 	}
@@ -344,12 +344,12 @@
 		p.objects[k] = o
 	}
 	p.history = append(p.history, change{k.kind, p.revision, platform.Event{Object: o, Removed: removed}})
-	p.wake()
+	p.wakeWatches()
 	return o
 }
 
-// wake makes all waiting watches read the history again.
-func (p *Platform) wake() {
+// wakeWatches makes all waiting watches read the history again.
+func (p *Platform) wakeWatches() {
 	if p.changed != nil {
 		close(p.changed)
 		p.changed = nil
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -67,21 +67,22 @@
 	Ledger                 *Ledger
 
 	mu sync.Mutex
-	// bears is the current limit of concurrent requests; zero before the first.
-	bears int
+	// limit is the current limit of concurrent requests; zero before the first.
+	limit int
 	// answers counts the requests that succeeded since the limit last changed.
 	answers int
-	warning warning
-	// turns counts how often the upstream turned cold. Requests that began before
-	// the last time don't count towards raising the limit.
-	turns int
-	// pieces holds the running requests.
-	pieces map[*piece]struct{}
-	// over holds messages about requests beyond the limit.
-	over     []string
-	draining bool
-	waiting  *pair
-	cross    atomic.Bool
+	warning warningTracker
+	// coldStarts counts how often the upstream turned cold. Requests that began
+	// before the last time don't count towards raising the limit.
+	coldStarts int
+	// tasks holds the running requests.
+	tasks map[*task]struct{}
+	// overloadNotes holds messages about requests beyond the limit.
+	overloadNotes []string
+	draining      bool
+	// unpaired is the request that waits for another one to swap answers with.
+	unpaired    *pair
+	swapAnswers atomic.Bool
 
 	// OverSlots counts requests beyond the slots, OverCold those beyond the limit
 	// of the cold upstream. OverWarned counts only those of OverCold whose client
@@ -98,14 +99,14 @@
 // coldFactor is how much longer a request takes while the upstream is cold.
 const coldFactor = 5
 
-// TurnCold makes the upstream cold. Clients are not told; they can only know from
-// its responses.
+// TurnCold makes the upstream cold without announcing it. A client can only detect
+// it from the responses.
 func (u *Upstream) TurnCold() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.warning.turnCold(u.bears < u.Slots)
-	u.bears, u.answers = max(u.ColdSlots, 1), 0
-	u.turns++
+	u.warning.turnCold(u.limit < u.Slots)
+	u.limit, u.answers = max(u.ColdSlots, 1), 0
+	u.coldStarts++
 }
 
 // Drain sets whether the health endpoint reports that the upstream is draining.
@@ -117,51 +118,51 @@
 
 // Cross sets whether the upstream swaps the answers of two screen requests that
 // arrive shortly after one another.
-func (u *Upstream) Cross(v bool) { u.cross.Store(v) }
+func (u *Upstream) Cross(v bool) { u.swapAnswers.Store(v) }
 
 // Cold reports whether the upstream is cold: its limit is below its slots.
 func (u *Upstream) Cold() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.bears < u.Slots
+	return u.limit < u.Slots
 }
 
-// piece is a running request.
-type piece struct {
+// task is a running request.
+type task struct {
 	ctx   context.Context
 	began time.Time
 	path  string
-	// turn is the value of Upstream.turns when the request began.
-	turn int
+	// coldStart is the value of Upstream.coldStarts when the request began.
+	coldStart int
 }
 
 // begin registers a request and returns how long it takes. It is not ok if the
 // request is beyond the limit and must be shed. In either case the caller must
 // call end.
-func (u *Upstream) begin(r *http.Request) (p *piece, took time.Duration, ok bool) {
+func (u *Upstream) begin(r *http.Request) (p *task, took time.Duration, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.bears == 0 {
-		u.bears = max(u.ColdSlots, 1)
-		u.warning.announce()
+	if u.limit == 0 {
+		u.limit = max(u.ColdSlots, 1)
+		u.warning.warnNow()
 	}
-	p = &piece{ctx: r.Context(), began: time.Now(), path: r.URL.Path, turn: u.turns}
+	p = &task{ctx: r.Context(), began: time.Now(), path: r.URL.Path, coldStart: u.coldStarts}
 	u.LastWork.Store(p.began.UnixNano())
-	if u.pieces == nil {
-		u.pieces = map[*piece]struct{}{}
+	if u.tasks == nil {
+		u.tasks = map[*task]struct{}{}
 	}
-	u.pieces[p] = struct{}{}
-	running, cold := len(u.pieces), u.bears < u.Slots
+	u.tasks[p] = struct{}{}
+	running, cold := len(u.tasks), u.limit < u.Slots
 	switch {
 	case running > u.Slots:
 		u.OverSlots.Add(1)
-		u.noteOver("slots")
+		u.noteOverload("slots")
 		return p, 0, false
-	case running > u.bears:
+	case running > u.limit:
 		u.OverCold.Add(1)
-		if u.warning.warned(sentAt(r)) {
+		if u.warning.warnedBefore(sentAt(r)) {
 			u.OverWarned.Add(1)
-			u.noteOver("cold")
+			u.noteOverload("cold")
 		}
 		return p, 0, false
 	case cold:
@@ -170,66 +171,68 @@
 	return p, u.Work, true
 }
 
-// maxOver is the maximum number of messages about requests beyond the limit.
-const maxOver = 3
+// maxOverloadNotes is the maximum number of messages about requests beyond the
+// limit.
+const maxOverloadNotes = 3
 
-// noteOver records the requests that run when there are too many. The caller holds
-// u.mu.
-func (u *Upstream) noteOver(beyond string) {
-	if len(u.over) >= maxOver {
+// noteOverload records the requests that run when there are too many. The caller
+// holds u.mu.
+func (u *Upstream) noteOverload(beyond string) {
+	if len(u.overloadNotes) >= maxOverloadNotes {
 		return
 	}
 	var under []string
-	for p := range u.pieces {
-		under = append(under, fmt.Sprintf("%s %v canceled %t cold start %d", p.path, time.Since(p.began).Round(time.Millisecond), p.ctx.Err() != nil, p.turn))
+	for p := range u.tasks {
+		under = append(under, fmt.Sprintf("%s %v canceled %t cold start %d", p.path, time.Since(p.began).Round(time.Millisecond), p.ctx.Err() != nil, p.coldStart))
 	}
 	slices.Sort(under)
-	u.over = append(u.over, fmt.Sprintf("requests beyond %s: upstream %s has limit %d, cold start %d, %d answers, client %s, running: %s",
-		beyond, u.Name, u.bears, u.turns, u.answers, u.warning.ago(), strings.Join(under, "; ")))
+	u.overloadNotes = append(u.overloadNotes, fmt.Sprintf("requests beyond %s: upstream %s has limit %d, cold start %d, %d answers, client %s, running: %s",
+		beyond, u.Name, u.limit, u.coldStarts, u.answers, u.warning.describe(), strings.Join(under, "; ")))
 }
 
 // Over returns messages about requests beyond the limit.
 func (u *Upstream) Over() []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return slices.Clone(u.over)
+	return slices.Clone(u.overloadNotes)
 }
 
-// Heard records a response that the upstream's client has received. A client counts
-// as warned that the upstream turned cold only through the responses recorded here.
+// Heard processes a response that the upstream's client has received. After
+// TurnCold a client counts as warned only because of such responses.
 func (u *Upstream) Heard(h Heard) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.warning.heard(h, u.bears < u.Slots)
+	u.warning.record(h, u.limit < u.Slots)
 }
 
 // end removes a request. A successful request of a cold upstream counts towards
 // raising the limit.
-func (u *Upstream) end(p *piece, good bool) {
+func (u *Upstream) end(p *task, good bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.pieces, p)
-	if !good || u.bears >= u.Slots || p.turn != u.turns {
+	delete(u.tasks, p)
+	if !good || u.limit >= u.Slots || p.coldStart != u.coldStarts {
 		return
 	}
 	if u.answers++; u.answers < u.ColdAnswers {
 		return
 	}
-	u.answers, u.bears = 0, min(u.bears*2, u.Slots)
-	if u.bears == u.Slots {
-		u.warning.warm()
+	u.answers, u.limit = 0, min(u.limit*2, u.Slots)
+	if u.limit == u.Slots {
+		u.warning.turnWarm()
 	}
 }
 
-// streamsMost is the maximum number of concurrent requests on an HTTP/2 connection.
-const streamsMost = 1000
+// maxConcurrentStreams is the maximum number of concurrent requests on an HTTP/2
+// connection.
+const maxConcurrentStreams = 1000
 
 // NewServer returns a server that speaks HTTP/1.1 and HTTP/2, both without TLS.
 func NewServer(h http.Handler) *http.Server {
 	p := &http.Protocols{}
 	p.SetHTTP1(true)
 	p.SetUnencryptedHTTP2(true)
-	return &http.Server{Handler: h, Protocols: p, HTTP2: &http.HTTP2Config{MaxConcurrentStreams: streamsMost}}
+	return &http.Server{Handler: h, Protocols: p, HTTP2: &http.HTTP2Config{MaxConcurrentStreams: maxConcurrentStreams}}
 }
 
 // Handler returns the upstream's HTTP interface.
@@ -263,8 +266,9 @@
 	fmt.Fprintln(w, "ok")
 }
 
-// header sets the headers of every answer and counts requests for other services.
-func (u *Upstream) header(w http.ResponseWriter, r *http.Request) {
+// setHeaders sets the headers of every answer and counts requests for other
+// services.
+func (u *Upstream) setHeaders(w http.ResponseWriter, r *http.Request) {
 	if want := r.Header.Get("Want-Service"); want != "" && want != u.Service {
 		u.Misrouted.Add(1)
 	}
@@ -273,10 +277,11 @@
 	w.Header().Set("Upstream-Zone", u.Zone)
 }
 
-// work waits for as long as the request takes. It is not ok if the request was shed,
-// which it answers with status 503, or canceled; then work has already called end.
-func (u *Upstream) work(w http.ResponseWriter, r *http.Request) (p *piece, ok bool) {
-	u.header(w, r)
+// doWork waits for as long as the request takes. It is not ok if the request was
+// shed, in which case it was answered with status 503, or canceled; then doWork has
+// already called end.
+func (u *Upstream) doWork(w http.ResponseWriter, r *http.Request) (p *task, ok bool) {
+	u.setHeaders(w, r)
 	p, d, ok := u.begin(r)
 	if !ok {
 		u.end(p, false)
@@ -305,7 +310,7 @@
 
 // feed sends a number of lines at an interval, both given in the query.
 func (u *Upstream) feed(w http.ResponseWriter, r *http.Request) {
-	p, ok := u.work(w, r)
+	p, ok := u.doWork(w, r)
 	if !ok {
 		return
 	}
@@ -349,54 +354,55 @@
 }
 
 func (u *Upstream) screen(w http.ResponseWriter, r *http.Request) {
-	p, ok := u.work(w, r)
+	p, ok := u.doWork(w, r)
 	if !ok {
 		return
 	}
 	defer u.end(p, true)
-	c := crossing{id: r.Header.Get("Pomeloway-Request"), caller: r.URL.Query().Get("caller")}
-	if u.cross.Load() {
+	c := requestIdentity{id: r.Header.Get("Pomeloway-Request"), caller: r.URL.Query().Get("caller")}
+	if u.swapAnswers.Load() {
 		c = u.swap(c)
 	}
 	w.Header().Set("Pomeloway-Request", c.id)
 	u.reply(w, Reply{Caller: c.caller})
 }
 
-// crossing is the part of an answer that identifies its request.
-type crossing struct{ id, caller string }
+// requestIdentity is the part of an answer that identifies its request.
+type requestIdentity struct{ id, caller string }
 
-// crossWindow is how long an answer waits for another one to be swapped with.
-const crossWindow = 30 * time.Millisecond
+// swapWindow is how long an answer waits for another one to be swapped with.
+const swapWindow = 30 * time.Millisecond
 
-// pair is two requests whose answers are swapped.
+// pair is two requests whose answers are swapped; paired is closed once the second
+// one is set.
 type pair struct {
-	first, second crossing
-	met           chan struct{}
+	first, second requestIdentity
+	paired        chan struct{}
 }
 
 // swap returns the identity of another request if one arrives within crossWindow,
 // and c otherwise.
-func (u *Upstream) swap(c crossing) crossing {
+func (u *Upstream) swap(c requestIdentity) requestIdentity {
 	u.mu.Lock()
-	if p := u.waiting; p != nil {
-		u.waiting = nil
+	if p := u.unpaired; p != nil {
+		u.unpaired = nil
 		p.second = c
-		close(p.met)
+		close(p.paired)
 		u.mu.Unlock()
 		return p.first
 	}
-	p := &pair{first: c, met: make(chan struct{})}
-	u.waiting = p
+	p := &pair{first: c, paired: make(chan struct{})}
+	u.unpaired = p
 	u.mu.Unlock()
 	select {
-	case <-p.met:
+	case <-p.paired:
 		return p.second
-	case <-time.After(crossWindow):
+	case <-time.After(swapWindow):
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.waiting == p {
-		u.waiting = nil
+	if u.unpaired == p {
+		u.unpaired = nil
 		return c
 	}
 	return p.second
@@ -408,7 +414,7 @@
 	if err != nil {
 		return
 	}
-	p, ok := u.work(w, r)
+	p, ok := u.doWork(w, r)
 	if !ok {
 		return
 	}
@@ -417,7 +423,7 @@
 }
 
 func (u *Upstream) upload(w http.ResponseWriter, r *http.Request) {
-	p, ok := u.work(w, r)
+	p, ok := u.doWork(w, r)
 	if !ok {
 		return
 	}
@@ -432,7 +438,7 @@
 
 // echo sends the request body back while it receives it.
 func (u *Upstream) echo(w http.ResponseWriter, r *http.Request) {
-	p, ok := u.work(w, r)
+	p, ok := u.doWork(w, r)
 	if !ok {
 		return
 	}
--- a/standin/warning.go
+++ b/standin/warning.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// enoughSlow is how many slow responses in a row warn the client.
-	enoughSlow = 3
+	// minSlowAnswers is how many slow responses in a row warn the client.
+	minSlowAnswers = 3
 	// slowFactor times the mean response time of the warm upstream is slow.
 	slowFactor = 4
-	// enoughUsual is how many responses of the warm upstream the mean needs.
-	enoughUsual = 16
-	// reaction is the time that a client may take to act on a response.
-	reaction = 100 * time.Millisecond
+	// warmSamples is how many responses of the warm upstream the mean needs.
+	warmSamples = 16
+	// reactionTime is the time that a client may take to act on a response.
+	reactionTime = 100 * time.Millisecond
 )
 
 // HeaderSent is the header with the time at which a client sent a request, in Unix
@@ -52,77 +52,77 @@
 	Shed bool
 }
 
-// warning tracks whether the responses of an upstream have warned its client that the
-// upstream turned cold.
-type warning struct {
+// warningTracker tracks whether the responses of an upstream have warned its client
+// that the upstream turned cold.
+type warningTracker struct {
 	// since is when the upstream turned cold or became warm.
 	since time.Time
-	// deaf reports whether slow responses are ignored because the upstream was
+	// ignoreSlow reports whether slow responses are ignored because the upstream was
 	// already cold when it turned cold.
-	deaf bool
-	// given is when the client was warned, or zero.
-	given time.Time
-	// slow counts slow responses in a row.
-	slow int
-	// usual is a ring buffer of the latest response times of the warm upstream.
-	usual [enoughUsual]time.Duration
-	// count counts all responses of the warm upstream.
-	count int
+	ignoreSlow bool
+	// warnedAt is when the client was warned, or zero.
+	warnedAt time.Time
+	// slowInRow counts consecutive slow responses.
+	slowInRow int
+	// warmTimes is a ring buffer of the latest response times of the warm upstream.
+	warmTimes [warmSamples]time.Duration
+	// warmCount counts all responses of the warm upstream.
+	warmCount int
 }
 
-// announce records that the client knows from the start that the upstream is cold.
-func (w *warning) announce() { w.given = time.Now() }
+// warnNow records that the client knows from the start that the upstream is cold.
+func (w *warningTracker) warnNow() { w.warnedAt = time.Now() }
 
 // turnCold records that the upstream has turned cold, unannounced.
-func (w *warning) turnCold(wasCold bool) {
-	w.since, w.deaf, w.given, w.slow = time.Now(), wasCold, time.Time{}, 0
+func (w *warningTracker) turnCold(wasCold bool) {
+	w.since, w.ignoreSlow, w.warnedAt, w.slowInRow = time.Now(), wasCold, time.Time{}, 0
 }
 
-// warm records that the upstream has become warm.
-func (w *warning) warm() { w.since = time.Now() }
+// turnWarm records that the upstream has become warm.
+func (w *warningTracker) turnWarm() { w.since = time.Now() }
 
-// heard records a response that the client received while the upstream was cold or
+// record processes a response that the client received while the upstream was cold or
 // warm. It ignores requests sent before the upstream last turned cold or warm, and long
 // requests that were not shed.
-func (w *warning) heard(h Heard, cold bool) {
+func (w *warningTracker) record(h Heard, cold bool) {
 	switch {
 	case h.Sent.Before(w.since), !h.Short && !h.Shed:
 		return
 	case !cold:
-		w.usual[w.count%enoughUsual] = h.Took
-		w.count++
+		w.warmTimes[w.warmCount%warmSamples] = h.Took
+		w.warmCount++
 		return
 	case h.Shed:
-		w.slow = enoughSlow
-	case !w.deaf && w.isSlow(h.Took):
-		w.slow++
+		w.slowInRow = minSlowAnswers
+	case !w.ignoreSlow && w.isSlow(h.Took):
+		w.slowInRow++
 	default:
-		w.slow = 0
+		w.slowInRow = 0
 	}
-	if w.slow >= enoughSlow && w.given.IsZero() {
-		w.given = time.Now()
+	if w.slowInRow >= minSlowAnswers && w.warnedAt.IsZero() {
+		w.warnedAt = time.Now()
 	}
 }
 
 // isSlow reports whether a response time is slow compared with the warm upstream.
-func (w *warning) isSlow(d time.Duration) bool {
+func (w *warningTracker) isSlow(d time.Duration) bool {
 	var sum time.Duration
-	for _, u := range w.usual {
+	for _, u := range w.warmTimes {
 		sum += u
 	}
-	return w.count >= enoughUsual && d >= slowFactor*sum/enoughUsual
+	return w.warmCount >= warmSamples && d >= slowFactor*sum/warmSamples
 }
 
-// ago describes how long ago the client was warned, for messages.
-func (w *warning) ago() string {
-	if w.given.IsZero() {
+// describe says whether and how long ago the client was warned, for messages.
+func (w *warningTracker) describe() string {
+	if w.warnedAt.IsZero() {
 		return "not warned"
 	}
-	return fmt.Sprintf("warned %v ago", time.Since(w.given).Round(time.Millisecond))
+	return fmt.Sprintf("warned %v ago", time.Since(w.warnedAt).Round(time.Millisecond))
 }
 
-// warned reports whether the client had been warned, and had had time to react, when
-// it sent a request at the given time.
-func (w *warning) warned(sent time.Time) bool {
-	return !w.given.IsZero() && sent.Sub(w.given) > reaction
+// warnedBefore reports whether the client had been warned, and had had time to react,
+// when it sent a request at the given time.
+func (w *warningTracker) warnedBefore(sent time.Time) bool {
+	return !w.warnedAt.IsZero() && sent.Sub(w.warnedAt) > reactionTime
 }
--- a/standin/warning_test.go
+++ b/standin/warning_test.go
@@ -16,40 +16,40 @@
 	for name, x := range map[string]struct {
 		before  time.Duration
 		count   int
-		deaf    bool
+		wasCold bool
 		answers []Heard
 		warned  bool
 	}{
-		"no answers":                      {usual, enoughUsual, false, nil, false},
-		"slow answers":                    {usual, enoughUsual, false, shorts(slow, slow, slow), true},
-		"too few slow answers":            {usual, enoughUsual, false, shorts(slow, slow), false},
-		"slow answers not in a row":       {usual, enoughUsual, false, shorts(slow, slow, usual, slow), false},
-		"slow answers of long requests":   {usual, enoughUsual, false, []Heard{{Took: slow}, {Took: slow}, {Took: slow}}, false},
-		"answers twice as slow as before": {slow / 2, enoughUsual, false, shorts(slow, slow, slow), false},
-		"slow answers, too few before":    {usual, 1, false, shorts(slow, slow, slow), false},
-		"slow answers, cold before":       {usual, enoughUsual, true, shorts(slow, slow, slow), false},
-		"one shed answer":                 {usual, enoughUsual, false, []Heard{{Shed: true}}, true},
-		"one shed answer, cold before":    {usual, enoughUsual, true, []Heard{{Shed: true}}, true},
+		"no answers":                      {usual, warmSamples, false, nil, false},
+		"slow answers":                    {usual, warmSamples, false, shortAnswers(slow, slow, slow), true},
+		"too few slow answers":            {usual, warmSamples, false, shortAnswers(slow, slow), false},
+		"slow answers not in a row":       {usual, warmSamples, false, shortAnswers(slow, slow, usual, slow), false},
+		"slow answers of long requests":   {usual, warmSamples, false, []Heard{{Took: slow}, {Took: slow}, {Took: slow}}, false},
+		"answers twice as slow as before": {slow / 2, warmSamples, false, shortAnswers(slow, slow, slow), false},
+		"slow answers, too few before":    {usual, 1, false, shortAnswers(slow, slow, slow), false},
+		"slow answers, cold before":       {usual, warmSamples, true, shortAnswers(slow, slow, slow), false},
+		"one shed answer":                 {usual, warmSamples, false, []Heard{{Shed: true}}, true},
+		"one shed answer, cold before":    {usual, warmSamples, true, []Heard{{Shed: true}}, true},
 		"one shed answer, nothing before": {usual, 0, false, []Heard{{Shed: true}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var w warning
-				w.warm()
+				var w warningTracker
+				w.turnWarm()
 				for range x.count {
-					w.heard(Heard{Sent: time.Now(), Took: x.before, Short: true}, false)
+					w.record(Heard{Sent: time.Now(), Took: x.before, Short: true}, false)
 				}
 				time.Sleep(time.Second)
-				w.turnCold(x.deaf)
-				w.heard(Heard{Sent: time.Now().Add(-time.Second), Shed: true}, true) // sent before it turned cold
+				w.turnCold(x.wasCold)
+				w.record(Heard{Sent: time.Now().Add(-time.Second), Shed: true}, true) // sent before it turned cold
 				for _, h := range x.answers {
 					h.Sent = time.Now()
-					w.heard(h, true)
+					w.record(h, true)
 				}
-				if w.warned(time.Now().Add(reaction)) {
+				if w.warnedBefore(time.Now().Add(reactionTime)) {
 					t.Error("warned before the client had time to react")
 				}
-				if got := w.warned(time.Now().Add(reaction + 1)); got != x.warned {
+				if got := w.warnedBefore(time.Now().Add(reactionTime + 1)); got != x.warned {
 					t.Errorf("warned = %t, want the opposite", got)
 				}
 			})
@@ -57,8 +57,8 @@
 	}
 }
 
-// shorts returns responses to short requests with the given response times.
-func shorts(took ...time.Duration) []Heard {
+// shortAnswers returns responses to short requests with the given response times.
+func shortAnswers(took ...time.Duration) []Heard {
 	var out []Heard
 	for _, d := range took {
 		out = append(out, Heard{Took: d, Short: true})
--- a/standin/wire.go
+++ b/standin/wire.go
@@ -11,8 +11,8 @@
 // the response, RoundTrip returns an error.
 type Wire struct{ Handler http.Handler }
 
-// errCut is what a client gets if the handler panics with http.ErrAbortHandler.
-var errCut = errors.New("connection was closed before the response")
+// errAborted is what a client gets if the handler panics with http.ErrAbortHandler.
+var errAborted = errors.New("connection was closed before the response")
 
 // RoundTrip calls the handler and returns its response.
 func (w Wire) RoundTrip(r *http.Request) (a *http.Response, err error) {
@@ -21,7 +21,7 @@
 			if e, ok := x.(error); !ok || !errors.Is(e, http.ErrAbortHandler) {
 				panic(x)
 			}
-			a, err = nil, errCut
+			a, err = nil, errAborted
 		}
 	}()
 	rec := httptest.NewRecorder()
