--- a/capacity/bundles.go
+++ b/capacity/bundles.go
@@ -17,16 +17,16 @@
 	"pomeloway.example/pomeloway/peer"
 )
 
-// Sizes of the fleet that the design is for.
+// Sizes of the fleet that pomeloway is designed for.
 const (
 	Nodes     = 400
 	Upstreams = 2400
 	Addresses = 870
 	Zones     = 8
-	Changes   = 830 // a day
+	Changes   = 830 // per day
 )
 
-// Text returns a real bundle with so many services.
+// Text returns the text of a valid bundle with the given number of services.
 func Text(services int, k keyring.Secret) []byte {
 	var b strings.Builder
 	b.WriteString("services:\n")
@@ -48,7 +48,7 @@
 	return []byte(b.String())
 }
 
-// Member returns the i-th agent of a fleet with so many services.
+// Member returns the i-th agent of a fleet with the given number of services.
 func Member(i, services int) fleet.Member {
 	a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 200, byte(i >> 8), byte(i)}), 7001)
 	return fleet.Member{
@@ -58,7 +58,7 @@
 	}
 }
 
-// clock returns how long f takes, the median of some runs.
+// clock returns the median time of several runs of f, in seconds.
 func clock(f func()) float64 {
 	const runs = 9
 	var t []float64
@@ -70,7 +70,8 @@
 	return median(t)
 }
 
-// Bundles measures bundles of growing size.
+// Bundles measures bundles with the given numbers of services: their size and the
+// time to verify and decode them.
 func Bundles(sizes []int) ([]Slope, error) {
 	k := keyring.NewSecret(1)
 	key, v, err := bundle.NewOperator()
@@ -113,8 +114,8 @@
 	}, nil
 }
 
-// changeSize returns the bytes that a bundle takes, in which one service differs
-// from the text, towards a process that has the text.
+// changeSize returns how many bytes it takes to send a bundle that differs from
+// the text in one service to a process that has the text.
 func changeSize(text []byte, key minisign.PrivateKey) (int, error) {
 	next := bytes.Replace(text, []byte("slots: 6"), []byte("slots: 7"), 1)
 	s, err := bundle.Sign(next, bundle.Stamp{Version: 2, Parent: bundle.DigestOf(text)}, key)
@@ -124,7 +125,8 @@
 	return peer.WireSize(fleet.Change{Bundle: &s}, string(text))
 }
 
-// Views measures the view of a fleet of growing size.
+// Views measures the view of fleets with the given numbers of members: its size in
+// memory and on the wire, and the time to merge and build it.
 func Views(sizes []int, services int) ([]Slope, error) {
 	k := keyring.NewSecret(1)
 	b, err := bundle.Decode(Text(services, k))
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -15,8 +15,8 @@
 		points               []Point
 		base, each, residual float64
 	}{
-		"a line": {[]Point{{1, 5}, {2, 7}, {4, 11}, {8, 19}}, 3, 2, 0},
-		"a bend": {[]Point{{1, 1}, {2, 4}, {3, 9}, {4, 16}}, -5, 5, 1.0 / 16},
+		"straight line": {[]Point{{1, 5}, {2, 7}, {4, 11}, {8, 19}}, 3, 2, 0},
+		"curve":         {[]Point{{1, 1}, {2, 4}, {3, 9}, {4, 16}}, -5, 5, 1.0 / 16},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewSlope("x", "thing", "B", x.points)
@@ -29,12 +29,12 @@
 	}
 }
 
-// The page extrapolates to 870 services; were the generated bundle not a real
-// one, its figures would say nothing.
+// The measurements are extrapolated to a fleet of full size. If the generated
+// bundle or agent were not valid, their figures would mean nothing.
 func TestGeneratedBundleIsValidAtFullSize(t *testing.T) {
 	b, err := bundle.Decode(Text(Addresses, keyring.NewSecret(1)))
 	if err != nil || len(b.Services) != Addresses || len(b.Zones) != Zones {
-		t.Fatalf("%v", err)
+		t.Fatalf("bundle is not valid or has a wrong number of services or zones: %v", err)
 	}
 	m := Member(Upstreams-1, Addresses)
 	if err := m.Check(); err != nil {
@@ -57,10 +57,10 @@
 	}
 	for _, f := range []string{"bundle-on-the-wire.svg", "view-merged.svg", "slopes.json"} {
 		if b, err := os.ReadFile(dir + "/" + f); err != nil || len(b) == 0 {
-			t.Errorf("%s: %d bytes, %v", f, len(b), err)
+			t.Errorf("%s has %d bytes, error %v", f, len(b), err)
 		}
 	}
 	if s := bs[0].String(); !strings.Contains(s, "per service [B]") {
-		t.Errorf("row %q", s)
+		t.Errorf("table row %q lacks the unit", s)
 	}
 }
--- a/capacity/fit.go
+++ b/capacity/fit.go
@@ -1,5 +1,5 @@
-// Package capacity measures how a fleet's state, traffic and processor time grow
-// with its size, and fits slopes to extrapolate by.
+// Package capacity measures how the state, traffic and processor time of a fleet
+// grow with its size, and fits lines from which larger sizes are extrapolated.
 package capacity
 
 import (
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement at one size.
+// Point is a value measured at a size.
 type Point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
@@ -21,11 +21,11 @@
 	Per    string  `json:"per"`
 	Unit   string  `json:"unit"`
 	Points []Point `json:"points"`
-	// Base and Each make Value = Base + Each * Size.
+	// Base and Each are the line's coefficients: Value = Base + Each * Size.
 	Base float64 `json:"base"`
 	Each float64 `json:"each"`
-	// Residual is the largest distance of a point from the line, as a share of
-	// the largest value.
+	// Residual is the largest deviation of a point from the line, relative to
+	// the largest absolute value.
 	Residual float64 `json:"residual"`
 }
 
@@ -48,7 +48,7 @@
 // At returns the line's value at the size.
 func (s Slope) At(size float64) float64 { return s.Base + s.Each*size }
 
-// String returns a row for a table.
+// String returns the points and the line as a row of a table.
 func (s Slope) String() string {
 	row := fmt.Sprintf("%-34s", s.Name)
 	for _, p := range s.Points {
--- a/capacity/fleets.go
+++ b/capacity/fleets.go
@@ -10,30 +10,31 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// FleetSize is a fleet to measure.
+// FleetSize is the size of a fleet to measure.
 type FleetSize struct{ Balancers, Upstreams int }
 
 const (
-	// quiet is how long flows settle before they are measured.
+	// quiet is how long flows settle before they are measured, and after they
+	// have ended.
 	quiet = 3 * time.Second
-	// settled is how long a fleet does: until every process follows the relay
-	// that it goes on following.
+	// settled is how long a fleet settles before it is measured. By then every
+	// process follows the relay that it keeps following.
 	settled = 25 * time.Second
 )
 
-// fleetZones is the zones of a measured fleet.
+// fleetZones is the number of availability zones of a measured fleet.
 const fleetZones = 4
 
-// changesMeasured is how many bundles are accepted at each size.
+// changesMeasured is the number of bundles accepted at each size.
 const changesMeasured = 5
 
-// Fleets measures whole fleets in one process: balancers, agents and the
-// platform's stand-in, all over loopback, without callers.
+// Fleets measures whole fleets without callers: balancers, agents and the
+// platform's stand-in, all in this process and connected over loopback.
 func Fleets(ctx context.Context, sizes []FleetSize, hold time.Duration, progress io.Writer) ([]Slope, error) {
 	var cpu, net, heap, reads, inForce, change []Point
 	for _, z := range sizes {
 		n := float64(z.Balancers + z.Upstreams)
-		fmt.Fprintf(progress, "a fleet of %d balancers and %d agents\n", z.Balancers, z.Upstreams)
+		fmt.Fprintf(progress, "measuring a fleet of %d balancers and %d agents\n", z.Balancers, z.Upstreams)
 		before := heapNow()
 		f, err := startFleet(ctx, z, upstream.ProtocolHTTP1)
 		if err != nil {
@@ -66,7 +67,7 @@
 	}, nil
 }
 
-// startLimit bounds the start of a large fleet.
+// startLimit is the maximum time for the start of a large fleet.
 const startLimit = 90 * time.Second
 
 func startFleet(ctx context.Context, z FleetSize, p upstream.Protocol) (*demo.Fleet, error) {
@@ -75,8 +76,9 @@
 	return demo.StartFleet(ctx, z.Balancers, z.Upstreams, fleetZones, p)
 }
 
-// changes accepts bundles and returns the median time to be in force and the
-// bytes that one costs beyond the quiet traffic.
+// changes accepts several bundles. It returns the median time until a bundle is
+// in force everywhere, and the bytes sent per bundle in addition to the traffic
+// without changes, which is quietBytes per second.
 func changes(ctx context.Context, f *demo.Fleet, quietBytes float64) (seconds, bytes float64, err error) {
 	var took []float64
 	a := read()
@@ -93,8 +95,8 @@
 	return median(took), max(0, extra) / changesMeasured, nil
 }
 
-// Flows measures what a held feed costs with upstreams that speak the protocol,
-// the caller's and the upstream's end of it included, since all are in this
+// Flows measures the cost of an open feed with upstreams of the given protocol.
+// This includes the cost at the caller and the upstream because all run in this
 // process.
 func Flows(ctx context.Context, p upstream.Protocol, sizes []int, hold time.Duration, progress io.Writer) ([]Slope, error) {
 	f, err := startFleet(ctx, FleetSize{2, 6}, p)
@@ -104,7 +106,7 @@
 	defer f.Close()
 	var heap, cpu, net []Point
 	for _, n := range sizes {
-		fmt.Fprintf(progress, "%d flows that hold a feed, upstreams speak %s\n", n, p)
+		fmt.Fprintf(progress, "measuring %d flows with an open feed each, upstream protocol %s\n", n, p)
 		end, err := f.Hold(ctx, n)
 		if err != nil {
 			return nil, err
--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -11,12 +11,14 @@
 	"golang.org/x/sys/unix"
 )
 
+// median returns the median of the values, which it sorts.
 func median(v []float64) float64 {
 	slices.Sort(v)
 	return v[len(v)/2]
 }
 
-// heapNow returns the live heap in bytes.
+// heapNow returns the bytes in use on the heap, after garbage collection, and on
+// stacks.
 func heapNow() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -25,21 +27,23 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// reading is what a machine has spent up to a moment.
+// reading is the processor time and traffic used up to a point in time.
 type reading struct {
 	at  time.Time
 	cpu time.Duration
 	net float64
 }
 
-// read returns the process's time on processors and the bytes over loopback.
-// Every datagram passes loopback once, headers of IP and UDP included.
+// read returns the processor time of this process and the bytes received on the
+// loopback interface. Every datagram counts once, including IP and UDP headers.
 func read() reading {
 	var r unix.Rusage
 	unix.Getrusage(unix.RUSAGE_SELF, &r)
 	return reading{at: time.Now(), cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), net: loopbackBytes()}
 }
 
+// loopbackBytes returns the bytes received on the loopback interface, or zero if
+// they can't be read.
 func loopbackBytes() float64 {
 	b, err := os.ReadFile("/proc/net/dev")
 	if err != nil {
@@ -55,7 +59,8 @@
 	return 0
 }
 
-// since returns what was spent a second since the earlier reading.
+// since returns the average use since the earlier reading: processor cores, and
+// bytes per second.
 func (r reading) since(o reading) (cores, bytes float64) {
 	d := r.at.Sub(o.at).Seconds()
 	return (r.cpu - o.cpu).Seconds() / d, (r.net - o.net) / d
--- a/capacity/plot.go
+++ b/capacity/plot.go
@@ -16,7 +16,7 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// Plot writes the slope's points and line as SVG into the folder.
+// Plot writes an SVG file with the slope's points and line into the directory.
 func (s Slope) Plot(dir string) error {
 	p := plot.New()
 	p.Title.Text = s.Name
--- a/capacity/run.go
+++ b/capacity/run.go
@@ -17,20 +17,21 @@
 
 // Options are the settings of a measurement.
 type Options struct {
-	Quick bool          `help:"Measure small sizes only, to see that it works." env:"POMELOWAY_QUICK" group:"Run"`
-	Hold  time.Duration `help:"How long each size is watched." default:"10s" env:"POMELOWAY_HOLD" group:"Run"`
+	Quick bool          `help:"Measure small sizes only, as a quick check." env:"POMELOWAY_QUICK" group:"Run"`
+	Hold  time.Duration `help:"How long each size is measured." default:"10s" env:"POMELOWAY_HOLD" group:"Run"`
 	JSON  string        `help:"File for the slopes as JSON." name:"json" placeholder:"FILE" env:"POMELOWAY_JSON" group:"Output"`
 	Plots string        `help:"Folder for the plots as SVG." placeholder:"DIR" env:"POMELOWAY_PLOTS" group:"Output"`
 }
 
-// Validate returns all that is wrong with the settings.
+// Validate returns all errors in the settings.
 func (o *Options) Validate() error {
 	var f settings.Faults
 	f.Want(o.Hold > 0, "--hold", "must be more than zero")
 	return f.All()
 }
 
-// Run measures every slope, prints a table and writes JSON and plots.
+// Run measures all slopes, prints a table and writes the JSON file and the plots
+// that the options ask for.
 func Run(ctx context.Context, o Options, progress, out io.Writer) error {
 	fleets := []FleetSize{{2, 8}, {8, 42}, {17, 83}, {34, 166}}
 	flows := []int{250, 500, 1000, 2000}
@@ -58,6 +59,7 @@
 	return write(all, o)
 }
 
+// write writes the JSON file and the plots that the options ask for.
 func write(all []Slope, o Options) error {
 	if o.Plots != "" {
 		for _, s := range all {
