--- a/capacity/bundles.go
+++ b/capacity/bundles.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// clock returns the median time of several runs of f, in seconds.
-func clock(f func()) float64 {
+// medianSeconds returns the median time of several runs of f, in seconds.
+func medianSeconds(f func()) float64 {
 	const runs = 9
 	var t []float64
 	for range runs {
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var size, packed, change, verify []Point
+	var size, compressed, change, verify []Point
 	for _, n := range sizes {
 		text := Text(n, k)
 		s, err := bundle.Sign(text, bundle.Stamp{Version: 1}, key)
@@ -95,20 +95,20 @@
 		if err != nil {
 			return nil, err
 		}
-		packed = append(packed, at(float64(whole)))
+		compressed = append(compressed, at(float64(whole)))
 		one, err := changeSize(text, key)
 		if err != nil {
 			return nil, err
 		}
 		change = append(change, at(float64(one)))
-		verify = append(verify, at(clock(func() { _, err = v.Verify(s) })))
+		verify = append(verify, at(medianSeconds(func() { _, err = v.Verify(s) })))
 		if err != nil {
 			return nil, err
 		}
 	}
 	return []Slope{
 		NewSlope("bundle on the wire", "service", "B", size),
-		NewSlope("bundle compressed", "service", "B", packed),
+		NewSlope("bundle compressed", "service", "B", compressed),
 		NewSlope("bundle changed in one service", "service", "B", change),
 		NewSlope("bundle verified and decoded", "service", "s", verify),
 	}, nil
@@ -141,17 +141,17 @@
 			ms = append(ms, Member(i, services))
 		}
 		at := func(v float64) Point { return Point{float64(n), v} }
-		before := heapNow()
+		before := memoryInUse()
 		s := fleet.NewState(nil)
 		s.Merge(fleet.Change{Members: ms})
-		heap = append(heap, at(heapNow()-before))
+		heap = append(heap, at(memoryInUse()-before))
 		j, err := json.Marshal(s.Since(0, 0, 0))
 		if err != nil {
 			return nil, err
 		}
 		wire = append(wire, at(float64(len(j))))
-		merge = append(merge, at(clock(func() { fleet.NewState(nil).Merge(fleet.Change{Members: ms}) })))
-		build = append(build, at(clock(func() {
+		merge = append(merge, at(medianSeconds(func() { fleet.NewState(nil).Merge(fleet.Change{Members: ms}) })))
+		build = append(build, at(medianSeconds(func() {
 			ms, _ := s.Snapshot()
 			balancer.NewView(a, keyring.Ring{k}, ms, s.Doubted())
 		})))
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	if err := write(append(bs, vs...), Options{Plots: dir, JSON: dir + "/slopes.json"}); err != nil {
+	if err := writeResults(append(bs, vs...), Options{Plots: dir, JSON: dir + "/slopes.json"}); err != nil {
 		t.Fatal(err)
 	}
 	for _, f := range []string{"bundle-on-the-wire.svg", "view-merged.svg", "slopes.json"} {
--- a/capacity/fleets.go
+++ b/capacity/fleets.go
@@ -14,19 +14,19 @@
 type FleetSize struct{ Balancers, Upstreams int }
 
 const (
-	// quiet is how long flows settle before they are measured, and after they
-	// have ended.
-	quiet = 3 * time.Second
-	// settled is how long a fleet settles before it is measured. By then every
-	// process follows the relay that it keeps following.
-	settled = 25 * time.Second
+	// flowSettleTime is how long flows settle before they are measured, and after
+	// they have ended.
+	flowSettleTime = 3 * time.Second
+	// fleetSettleTime is how long a fleet settles before it is measured. By then
+	// every process follows the relay that it keeps following.
+	fleetSettleTime = 25 * time.Second
 )
 
 // fleetZones is the number of availability zones of a measured fleet.
 const fleetZones = 4
 
-// changesMeasured is the number of bundles accepted at each size.
-const changesMeasured = 5
+// changesPerSize is the number of bundles accepted at each size.
+const changesPerSize = 5
 
 // Fleets measures whole fleets without callers: balancers, agents and the
 // platform's stand-in, all in this process and connected over loopback.
@@ -35,22 +35,22 @@
 	for _, z := range sizes {
 		n := float64(z.Balancers + z.Upstreams)
 		fmt.Fprintf(progress, "measuring a fleet of %d balancers and %d agents\n", z.Balancers, z.Upstreams)
-		before := heapNow()
+		before := memoryInUse()
 		f, err := startFleet(ctx, z, upstream.ProtocolHTTP1)
 		if err != nil {
 			return nil, err
 		}
-		time.Sleep(settled)
-		a := read()
+		time.Sleep(fleetSettleTime)
+		a := readUsage()
 		ra, _ := f.PlatformCalls()
 		time.Sleep(hold)
-		cores, bytes := read().since(a)
+		cores, bytes := readUsage().ratesSince(a)
 		rb, _ := f.PlatformCalls()
 		at := func(v float64) Point { return Point{n, v} }
 		cpu, net = append(cpu, at(cores)), append(net, at(bytes))
 		reads = append(reads, at(float64(rb-ra)/hold.Seconds()))
-		heap = append(heap, at(heapNow()-before))
-		took, each, err := changes(ctx, f, bytes)
+		heap = append(heap, at(memoryInUse()-before))
+		took, each, err := measureChanges(ctx, f, bytes)
 		f.Close()
 		if err != nil {
 			return nil, err
@@ -67,22 +67,22 @@
 	}, nil
 }
 
-// startLimit is the maximum time for the start of a large fleet.
-const startLimit = 90 * time.Second
+// startTimeout is the maximum time for the start of a large fleet.
+const startTimeout = 90 * time.Second
 
 func startFleet(ctx context.Context, z FleetSize, p upstream.Protocol) (*demo.Fleet, error) {
-	ctx, stop := context.WithTimeout(ctx, startLimit)
+	ctx, stop := context.WithTimeout(ctx, startTimeout)
 	defer stop()
 	return demo.StartFleet(ctx, z.Balancers, z.Upstreams, fleetZones, p)
 }
 
-// changes accepts several bundles. It returns the median time until a bundle is
-// in force everywhere, and the bytes sent per bundle in addition to the traffic
-// without changes, which is quietBytes per second.
-func changes(ctx context.Context, f *demo.Fleet, quietBytes float64) (seconds, bytes float64, err error) {
+// measureChanges accepts several bundles. It returns the median time until a
+// bundle is in force everywhere, and the bytes sent per bundle in addition to the
+// traffic without changes, which is quietBytes per second.
+func measureChanges(ctx context.Context, f *demo.Fleet, quietBytes float64) (seconds, bytes float64, err error) {
 	var took []float64
-	a := read()
-	for range changesMeasured {
+	a := readUsage()
+	for range changesPerSize {
 		d, err := f.Change(ctx)
 		if err != nil {
 			return 0, 0, err
@@ -90,9 +90,9 @@
 		took = append(took, d.Seconds())
 		time.Sleep(time.Second)
 	}
-	b := read()
+	b := readUsage()
 	extra := b.net - a.net - quietBytes*b.at.Sub(a.at).Seconds()
-	return median(took), max(0, extra) / changesMeasured, nil
+	return median(took), max(0, extra) / changesPerSize, nil
 }
 
 // Flows measures the cost of an open feed with upstreams of the given protocol.
@@ -111,14 +111,14 @@
 		if err != nil {
 			return nil, err
 		}
-		time.Sleep(quiet)
-		a := read()
+		time.Sleep(flowSettleTime)
+		a := readUsage()
 		time.Sleep(hold)
-		cores, bytes := read().since(a)
+		cores, bytes := readUsage().ratesSince(a)
 		at := func(v float64) Point { return Point{float64(n), v} }
-		heap, cpu, net = append(heap, at(heapNow())), append(cpu, at(cores)), append(net, at(bytes))
+		heap, cpu, net = append(heap, at(memoryInUse())), append(cpu, at(cores)), append(net, at(bytes))
 		end()
-		time.Sleep(quiet)
+		time.Sleep(flowSettleTime)
 	}
 	return []Slope{
 		NewSlope("memory, both ends of a feed, "+string(p), "flow", "B", heap),
--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -17,9 +17,9 @@
 	return v[len(v)/2]
 }
 
-// heapNow returns the bytes in use on the heap, after garbage collection, and on
-// stacks.
-func heapNow() float64 {
+// memoryInUse returns the bytes in use on the heap, after garbage collection, and
+// on stacks.
+func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -27,19 +27,19 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// reading is the processor time and traffic used up to a point in time.
-type reading struct {
+// usage is the processor time and traffic used up to a point in time.
+type usage struct {
 	at  time.Time
 	cpu time.Duration
 	net float64
 }
 
-// read returns the processor time of this process and the bytes received on the
-// loopback interface. Every datagram counts once, including IP and UDP headers.
-func read() reading {
+// readUsage returns the processor time of this process and the bytes received on
+// the loopback interface. Every datagram counts once, including IP and UDP headers.
+func readUsage() usage {
 	var r unix.Rusage
 	unix.Getrusage(unix.RUSAGE_SELF, &r)
-	return reading{at: time.Now(), cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), net: loopbackBytes()}
+	return usage{at: time.Now(), cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), net: loopbackBytes()}
 }
 
 // loopbackBytes returns the bytes received on the loopback interface, or zero if
@@ -59,9 +59,9 @@
 	return 0
 }
 
-// since returns the average use since the earlier reading: processor cores, and
-// bytes per second.
-func (r reading) since(o reading) (cores, bytes float64) {
+// ratesSince returns the average use since o: processor cores, and bytes per
+// second.
+func (r usage) ratesSince(o usage) (cores, bytes float64) {
 	d := r.at.Sub(o.at).Seconds()
 	return (r.cpu - o.cpu).Seconds() / d, (r.net - o.net) / d
 }
--- a/capacity/run.go
+++ b/capacity/run.go
@@ -56,11 +56,11 @@
 		}
 		all = append(all, ss...)
 	}
-	return write(all, o)
+	return writeResults(all, o)
 }
 
-// write writes the JSON file and the plots that the options ask for.
-func write(all []Slope, o Options) error {
+// writeResults writes the JSON file and the plots that the options ask for.
+func writeResults(all []Slope, o Options) error {
 	if o.Plots != "" {
 		for _, s := range all {
 			if err := s.Plot(o.Plots); err != nil {
