--- a/settings/faults.go
+++ b/settings/faults.go
@@ -1,4 +1,4 @@
-// Package settings collects what is wrong with the settings of a program.
+// Package settings collects the errors in the settings of a program.
 package settings
 
 import (
@@ -7,40 +7,41 @@
 	"strings"
 )
 
-// Faults collects what is wrong with settings, so that all is told at once. As
-// an error it lists every fault with its flag and variable.
+// Faults collects the errors in settings, so that all are reported at once. As an
+// error it lists each of them with its flag and environment variable.
 type Faults []string
 
-// Error returns one line for each fault.
+// Error returns one line for each error.
 func (f Faults) Error() string { return "settings:\n  " + strings.Join(f, "\n  ") }
 
-// Want records a fault of the flag unless ok.
+// Want records the text as an error of the flag unless ok is set.
 func (f *Faults) Want(ok bool, flag, text string) {
 	if !ok {
 		*f = append(*f, fmt.Sprintf("%s ($%s): %s", flag, Variable(flag), text))
 	}
 }
 
-// Address records a fault unless a is an IPv4 address that others can reach.
+// Address records an error of the flag unless a is an IPv4 address to which other
+// processes can connect; 0.0.0.0 is not.
 func (f *Faults) Address(flag string, a netip.AddrPort) {
-	f.Want(a.IsValid() && a.Addr().Is4() && !a.Addr().IsUnspecified(), flag, "must be IP:PORT with the IPv4 address that others reach")
+	f.Want(a.IsValid() && a.Addr().Is4() && !a.Addr().IsUnspecified(), flag, "must be IP:PORT with an IPv4 address that other processes can reach")
 }
 
-// Err records the error as a fault of the flag unless it is nil.
+// Err records err as an error of the flag unless it is nil.
 func (f *Faults) Err(flag string, err error) {
 	if err != nil {
 		f.Want(false, flag, err.Error())
 	}
 }
 
-// Join takes in the faults of another part of the settings.
+// Join adds the errors of another part of the settings if err is of type Faults.
 func (f *Faults) Join(err error) {
 	if o, ok := err.(Faults); ok {
 		*f = append(*f, o...)
 	}
 }
 
-// All returns the faults as one error, or nil.
+// All returns f as an error, or nil if there are none.
 func (f Faults) All() error {
 	if len(f) == 0 {
 		return nil
@@ -48,7 +49,7 @@
 	return f
 }
 
-// Variable returns the environment variable of a flag.
+// Variable returns the name of the environment variable of a flag.
 func Variable(flag string) string {
 	return "POMELOWAY_" + strings.ToUpper(strings.ReplaceAll(strings.TrimLeft(flag, "-"), "-", "_"))
 }
