--- a/program/program.go
+++ b/program/program.go
@@ -1,4 +1,5 @@
-// Package program runs long-running programs: signals and logs.
+// Package program provides what all long-running programs need: signal handling
+// and logging.
 package program
 
 import (
@@ -10,15 +11,16 @@
 	"syscall"
 )
 
-// Program is a long-running part.
+// Program is a long-running program, such as the balancer or the agent.
 type Program interface {
-	// Run serves until stopped ends, then stops gracefully.
+	// Run runs the program until stopped is done, then stops gracefully.
 	Run(stopped context.Context) error
-	// Kill ends it at once.
+	// Kill stops the program at once.
 	Kill()
 }
 
-// Start serves a program that was made without an error.
+// Start takes the results of a program's constructor. It serves the program, or
+// returns the constructor's error.
 func Start[P Program](p P, err error) error {
 	if err != nil {
 		return err
@@ -26,8 +28,8 @@
 	return Serve(p)
 }
 
-// Serve runs the program until the first signal stops it gracefully, or the
-// second one at once.
+// Serve runs the program until it ends. The first SIGTERM or interrupt stops it
+// gracefully, the second one at once.
 func Serve(p Program) error {
 	c := make(chan os.Signal, 2)
 	signal.Notify(c, syscall.SIGTERM, os.Interrupt)
@@ -49,13 +51,13 @@
 	return p.Run(ctx)
 }
 
-// Logs are the settings of a program's log.
+// Logs holds the log settings of a program.
 type Logs struct {
-	LogFormat string     `help:"Form of log lines: json or text." enum:"json,text" default:"json" env:"POMELOWAY_LOG_FORMAT" group:"Logs"`
-	LogLevel  slog.Level `help:"Least level of log lines: debug, info, warn or error." default:"info" env:"POMELOWAY_LOG_LEVEL" group:"Logs"`
+	LogFormat string     `help:"Format of log lines: json or text." enum:"json,text" default:"json" env:"POMELOWAY_LOG_FORMAT" group:"Logs"`
+	LogLevel  slog.Level `help:"Minimum level of log lines: debug, info, warn or error." default:"info" env:"POMELOWAY_LOG_LEVEL" group:"Logs"`
 }
 
-// Logger returns the logger that the settings ask for.
+// Logger returns a logger with these settings that writes to w.
 func (l *Logs) Logger(w io.Writer) *slog.Logger {
 	h := &slog.HandlerOptions{Level: l.LogLevel}
 	if l.LogFormat == "text" {
