--- a/bundle/check.go
+++ b/bundle/check.go
@@ -139,7 +139,7 @@
 }
 
 // add adds a finding if k is not valid or was added before. An invalid name adds
-// none because nameOK has reported it.
+// none because checkName has reported it.
 func (u *unique[K]) add(path string, k K, valid bool) {
 	if !valid {
 		if _, ok := any(k).(Name); !ok {
--- a/settings/faults.go
+++ b/settings/faults.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// Join adds the errors of another part of the settings if err is of type Faults.
+// Join adds the errors that another part of the settings collected with this
+// package. It ignores other errors.
 func (f *Faults) Join(err error) {
 	if o, ok := err.(Faults); ok {
 		*f = append(*f, o...)
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -24,8 +24,8 @@
 	Outage bool `json:"outage"`
 	// Delay delays every call.
 	Delay time.Duration `json:"delay"`
-	// LoseAnswers is the number of writes that take effect but whose connection
-	// is closed without an answer.
+	// LoseAnswers is the number of further writes that take effect but whose
+	// connection is closed without an answer.
 	LoseAnswers int `json:"loseAnswers"`
 }
 
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -139,7 +139,7 @@
 // begin registers a request and returns how long it takes. It is not ok if the
 // request is beyond the limit and must be shed. In either case the caller must
 // call end.
-func (u *Upstream) begin(r *http.Request) (p *task, took time.Duration, ok bool) {
+func (u *Upstream) begin(r *http.Request) (p *task, duration time.Duration, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.limit == 0 {
@@ -380,7 +380,7 @@
 	paired        chan struct{}
 }
 
-// swap returns the identity of another request if one arrives within crossWindow,
+// swap returns the identity of another request if one arrives within swapWindow,
 // and c otherwise.
 func (u *Upstream) swap(c requestIdentity) requestIdentity {
 	u.mu.Lock()
