--- a/capacity/bundles.go
+++ b/capacity/bundles.go
@@ -17,16 +17,16 @@
 	"pomeloway.example/pomeloway/peer"
 )
 
-// Sizes of the fleet that the design is for.
+// Sizes of the fleet that pomeloway is designed for.
 const (
 	Nodes     = 400
 	Upstreams = 2400
 	Addresses = 870
 	Zones     = 8
-	Changes   = 830 // a day
+	Changes   = 830 // per day
 )
 
-// Text returns a real bundle with so many services.
+// Text returns the text of a valid bundle with the given number of services.
 func Text(services int, k keyring.Secret) []byte {
 	var b strings.Builder
 	b.WriteString("services:\n")
@@ -48,7 +48,7 @@
 	return []byte(b.String())
 }
 
-// Member returns the i-th agent of a fleet with so many services.
+// Member returns the i-th agent of a fleet with the given number of services.
 func Member(i, services int) fleet.Member {
 	a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 200, byte(i >> 8), byte(i)}), 7001)
 	return fleet.Member{
@@ -58,8 +58,8 @@
 	}
 }
 
-// clock returns how long f takes, the median of some runs.
-func clock(f func()) float64 {
+// medianSeconds returns the median time of several runs of f, in seconds.
+func medianSeconds(f func()) float64 {
 	const runs = 9
 	var t []float64
 	for range runs {
@@ -70,14 +70,15 @@
 	return median(t)
 }
 
-// Bundles measures bundles of growing size.
+// Bundles measures bundles with the given numbers of services: their size and the
+// time to verify and decode them.
 func Bundles(sizes []int) ([]Slope, error) {
 	k := keyring.NewSecret(1)
 	key, v, err := bundle.NewOperator()
 	if err != nil {
 		return nil, err
 	}
-	var size, packed, change, verify []Point
+	var size, compressed, change, verify []Point
 	for _, n := range sizes {
 		text := Text(n, k)
 		s, err := bundle.Sign(text, bundle.Stamp{Version: 1}, key)
@@ -94,27 +95,27 @@
 		if err != nil {
 			return nil, err
 		}
-		packed = append(packed, at(float64(whole)))
+		compressed = append(compressed, at(float64(whole)))
 		one, err := changeSize(text, key)
 		if err != nil {
 			return nil, err
 		}
 		change = append(change, at(float64(one)))
-		verify = append(verify, at(clock(func() { _, err = v.Verify(s) })))
+		verify = append(verify, at(medianSeconds(func() { _, err = v.Verify(s) })))
 		if err != nil {
 			return nil, err
 		}
 	}
 	return []Slope{
 		NewSlope("bundle on the wire", "service", "B", size),
-		NewSlope("bundle compressed", "service", "B", packed),
+		NewSlope("bundle compressed", "service", "B", compressed),
 		NewSlope("bundle changed in one service", "service", "B", change),
 		NewSlope("bundle verified and decoded", "service", "s", verify),
 	}, nil
 }
 
-// changeSize returns the bytes that a bundle takes, in which one service differs
-// from the text, towards a process that has the text.
+// changeSize returns how many bytes it takes to send a bundle that differs from
+// the text in one service to a process that has the text.
 func changeSize(text []byte, key minisign.PrivateKey) (int, error) {
 	next := bytes.Replace(text, []byte("slots: 6"), []byte("slots: 7"), 1)
 	s, err := bundle.Sign(next, bundle.Stamp{Version: 2, Parent: bundle.DigestOf(text)}, key)
@@ -124,7 +125,8 @@
 	return peer.WireSize(fleet.Change{Bundle: &s}, string(text))
 }
 
-// Views measures the view of a fleet of growing size.
+// Views measures the view of fleets with the given numbers of members: its size in
+// memory and on the wire, and the time to merge and build it.
 func Views(sizes []int, services int) ([]Slope, error) {
 	k := keyring.NewSecret(1)
 	b, err := bundle.Decode(Text(services, k))
@@ -139,17 +141,17 @@
 			ms = append(ms, Member(i, services))
 		}
 		at := func(v float64) Point { return Point{float64(n), v} }
-		before := heapNow()
+		before := memoryInUse()
 		s := fleet.NewState(nil)
 		s.Merge(fleet.Change{Members: ms})
-		heap = append(heap, at(heapNow()-before))
+		heap = append(heap, at(memoryInUse()-before))
 		j, err := json.Marshal(s.Since(0, 0, 0))
 		if err != nil {
 			return nil, err
 		}
 		wire = append(wire, at(float64(len(j))))
-		merge = append(merge, at(clock(func() { fleet.NewState(nil).Merge(fleet.Change{Members: ms}) })))
-		build = append(build, at(clock(func() {
+		merge = append(merge, at(medianSeconds(func() { fleet.NewState(nil).Merge(fleet.Change{Members: ms}) })))
+		build = append(build, at(medianSeconds(func() {
 			ms, _ := s.Snapshot()
 			balancer.NewView(a, keyring.Ring{k}, ms, s.Doubted())
 		})))
--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -11,13 +11,15 @@
 	"golang.org/x/sys/unix"
 )
 
+// median returns the median of the values, which it sorts.
 func median(v []float64) float64 {
 	slices.Sort(v)
 	return v[len(v)/2]
 }
 
-// heapNow returns the live heap in bytes.
-func heapNow() float64 {
+// memoryInUse returns the bytes in use on the heap, after garbage collection, and
+// on stacks.
+func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -25,21 +27,23 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// reading is what a machine has spent up to a moment.
-type reading struct {
+// usage is the processor time and traffic used up to a point in time.
+type usage struct {
 	at  time.Time
 	cpu time.Duration
 	net float64
 }
 
-// read returns the process's time on processors and the bytes over loopback.
-// Every datagram passes loopback once, headers of IP and UDP included.
-func read() reading {
+// readUsage returns the processor time of this process and the bytes received on
+// the loopback interface. Every datagram counts once, including IP and UDP headers.
+func readUsage() usage {
 	var r unix.Rusage
 	unix.Getrusage(unix.RUSAGE_SELF, &r)
-	return reading{at: time.Now(), cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), net: loopbackBytes()}
+	return usage{at: time.Now(), cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), net: loopbackBytes()}
 }
 
+// loopbackBytes returns the bytes received on the loopback interface, or zero if
+// they can't be read.
 func loopbackBytes() float64 {
 	b, err := os.ReadFile("/proc/net/dev")
 	if err != nil {
@@ -55,8 +59,9 @@
 	return 0
 }
 
-// since returns what was spent a second since the earlier reading.
-func (r reading) since(o reading) (cores, bytes float64) {
+// ratesSince returns the average use since o: processor cores, and bytes per
+// second.
+func (r usage) ratesSince(o usage) (cores, bytes float64) {
 	d := r.at.Sub(o.at).Seconds()
 	return (r.cpu - o.cpu).Seconds() / d, (r.net - o.net) / d
 }
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -17,13 +17,13 @@
 	"time"
 )
 
-// Ledger counts how often each order was run, over all upstreams that share it.
+// Ledger counts how often each order was run by all upstreams that share it.
 type Ledger struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// Run notes one run of the order and returns how many there were.
+// Run records a run of the order and returns the number of its runs so far.
 func (l *Ledger) Run(order string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,104 +54,115 @@
 	return n
 }
 
-// Upstream is a back end with slots, cold start, drain and shedding. Its work
-// takes Work, and five times as long while it is cold.
+// Upstream is a back end with slots, cold start, drain and load shedding. A
+// request takes the time Work, and five times as long while the upstream is cold.
 type Upstream struct {
 	Service, Name, Zone string
 	Slots               int
-	// ColdSlots is what it bears cold, ColdAnswers the answers that double it.
+	// ColdSlots is the initial limit of concurrent requests while the upstream is
+	// cold. Each time ColdAnswers requests have succeeded the limit doubles, up to
+	// Slots.
 	ColdSlots, ColdAnswers int
 	Work                   time.Duration
 	Ledger                 *Ledger
 
-	mu      sync.Mutex
-	bears   int
+	mu sync.Mutex
+	// limit is the current limit of concurrent requests; zero before the first.
+	limit int
+	// answers counts the requests that succeeded since the limit last changed.
 	answers int
-	warning warning
-	// turns counts the times it turned cold; work begun before the last one
-	// tells nothing of it.
-	turns int
-	// pieces is the work under way.
-	pieces   map[*piece]struct{}
-	over     []string
-	draining bool
-	waiting  *pair
-	cross    atomic.Bool
-
-	// OverSlots and OverCold count work beyond what it bears; OverWarned only
-	// the part of OverCold that came although its answers had told that it is
-	// cold. Misrouted counts requests for another service.
+	warning warningTracker
+	// coldStarts counts how often the upstream turned cold. Requests that began
+	// before the last time don't count towards raising the limit.
+	coldStarts int
+	// tasks holds the running requests.
+	tasks map[*task]struct{}
+	// overloadNotes holds messages about requests beyond the limit.
+	overloadNotes []string
+	draining      bool
+	// unpaired is the request that waits for another one to swap answers with.
+	unpaired    *pair
+	swapAnswers atomic.Bool
+
+	// OverSlots counts requests beyond the slots, OverCold those beyond the limit
+	// of the cold upstream. OverWarned counts only those of OverCold whose client
+	// had been warned by earlier responses that the upstream is cold. Misrouted
+	// counts requests for another service.
 	OverSlots, OverCold, OverWarned, Misrouted, Served atomic.Uint64
-	// LastWork is when work last began, LastSent when a feed's line was last
-	// sent, in Unix nanoseconds.
+	// LastWork is when a request last began, LastSent when a line of a feed was
+	// last sent, in Unix nanoseconds.
 	LastWork, LastSent atomic.Int64
-	// Feeds counts the feeds that are open.
+	// Feeds is the number of open feeds.
 	Feeds atomic.Int64
 }
 
-// coldFactor is how much longer work takes a cold upstream.
+// coldFactor is how much longer a request takes while the upstream is cold.
 const coldFactor = 5
 
-// TurnCold makes the upstream cold; without warning if it was serving.
+// TurnCold makes the upstream cold without announcing it. A client can only detect
+// it from the responses.
 func (u *Upstream) TurnCold() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.warning.turnCold(u.bears < u.Slots)
-	u.bears, u.answers = max(u.ColdSlots, 1), 0
-	u.turns++
+	u.warning.turnCold(u.limit < u.Slots)
+	u.limit, u.answers = max(u.ColdSlots, 1), 0
+	u.coldStarts++
 }
 
-// Drain makes the health end point say that the upstream drains.
+// Drain sets whether the health endpoint reports that the upstream is draining.
 func (u *Upstream) Drain(v bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.draining = v
 }
 
-// Cross makes it swap the answers of two requests now and then.
-func (u *Upstream) Cross(v bool) { u.cross.Store(v) }
+// Cross sets whether the upstream swaps the answers of two screen requests that
+// arrive shortly after one another.
+func (u *Upstream) Cross(v bool) { u.swapAnswers.Store(v) }
 
-// Cold reports whether it bears less than its slots.
+// Cold reports whether the upstream is cold: its limit is below its slots.
 func (u *Upstream) Cold() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.bears < u.Slots
+	return u.limit < u.Slots
 }
 
-// piece is one piece of work that was begun.
-type piece struct {
+// task is a running request.
+type task struct {
 	ctx   context.Context
 	began time.Time
 	path  string
-	// turn is the turn to the cold in which it was begun.
-	turn int
+	// coldStart is the value of Upstream.coldStarts when the request began.
+	coldStart int
 }
 
-// begin admits one piece of work, or sheds it.
-func (u *Upstream) begin(r *http.Request) (p *piece, took time.Duration, ok bool) {
+// begin registers a request and returns how long it takes. It is not ok if the
+// request is beyond the limit and must be shed. In either case the caller must
+// call end.
+func (u *Upstream) begin(r *http.Request) (p *task, duration time.Duration, ok bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.bears == 0 {
-		u.bears = max(u.ColdSlots, 1)
-		u.warning.announce()
+	if u.limit == 0 {
+		u.limit = max(u.ColdSlots, 1)
+		u.warning.warnNow()
 	}
-	p = &piece{ctx: r.Context(), began: time.Now(), path: r.URL.Path, turn: u.turns}
+	p = &task{ctx: r.Context(), began: time.Now(), path: r.URL.Path, coldStart: u.coldStarts}
 	u.LastWork.Store(p.began.UnixNano())
-	if u.pieces == nil {
-		u.pieces = map[*piece]struct{}{}
+	if u.tasks == nil {
+		u.tasks = map[*task]struct{}{}
 	}
-	u.pieces[p] = struct{}{}
-	running, cold := len(u.pieces), u.bears < u.Slots
+	u.tasks[p] = struct{}{}
+	running, cold := len(u.tasks), u.limit < u.Slots
 	switch {
 	case running > u.Slots:
 		u.OverSlots.Add(1)
-		u.noteOver("slots")
+		u.noteOverload("slots")
 		return p, 0, false
-	case running > u.bears:
+	case running > u.limit:
 		u.OverCold.Add(1)
-		if u.warning.warned(sentAt(r)) {
+		if u.warning.warnedBefore(sentAt(r)) {
 			u.OverWarned.Add(1)
-			u.noteOver("cold")
+			u.noteOverload("cold")
 		}
 		return p, 0, false
 	case cold:
@@ -160,63 +171,68 @@
 	return p, u.Work, true
 }
 
-// maxOver bounds the notes on work beyond what is borne.
-const maxOver = 3
+// maxOverloadNotes is the maximum number of messages about requests beyond the
+// limit.
+const maxOverloadNotes = 3
 
-// noteOver keeps what was under way when there was too much; u.mu is held.
-func (u *Upstream) noteOver(beyond string) {
-	if len(u.over) >= maxOver {
+// noteOverload records the requests that run when there are too many. The caller
+// holds u.mu.
+func (u *Upstream) noteOverload(beyond string) {
+	if len(u.overloadNotes) >= maxOverloadNotes {
 		return
 	}
 	var under []string
-	for p := range u.pieces {
-		under = append(under, fmt.Sprintf("%s %v broken %t turn %d", p.path, time.Since(p.began).Round(time.Millisecond), p.ctx.Err() != nil, p.turn))
+	for p := range u.tasks {
+		under = append(under, fmt.Sprintf("%s %v canceled %t cold start %d", p.path, time.Since(p.began).Round(time.Millisecond), p.ctx.Err() != nil, p.coldStart))
 	}
 	slices.Sort(under)
-	u.over = append(u.over, fmt.Sprintf("beyond %s: upstream %s bears %d, turn %d, %d answers, %s, under way: %s",
-		beyond, u.Name, u.bears, u.turns, u.answers, u.warning.ago(), strings.Join(under, "; ")))
+	u.overloadNotes = append(u.overloadNotes, fmt.Sprintf("requests beyond %s: upstream %s has limit %d, cold start %d, %d answers, client %s, running: %s",
+		beyond, u.Name, u.limit, u.coldStarts, u.answers, u.warning.describe(), strings.Join(under, "; ")))
 }
 
-// Over returns notes on the work beyond what it bears.
+// Over returns messages about requests beyond the limit.
 func (u *Upstream) Over() []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return slices.Clone(u.over)
+	return slices.Clone(u.overloadNotes)
 }
 
-// Heard notes an answer that the upstream's client has got. Nobody is held to know of
-// an unannounced turn without it.
+// Heard processes a response that the upstream's client has received. After
+// TurnCold a client counts as warned only because of such responses.
 func (u *Upstream) Heard(h Heard) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.warning.heard(h, u.bears < u.Slots)
+	u.warning.record(h, u.limit < u.Slots)
 }
 
-func (u *Upstream) end(p *piece, good bool) {
+// end removes a request. A successful request of a cold upstream counts towards
+// raising the limit.
+func (u *Upstream) end(p *task, good bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.pieces, p)
-	if !good || u.bears >= u.Slots || p.turn != u.turns {
+	delete(u.tasks, p)
+	if !good || u.limit >= u.Slots || p.coldStart != u.coldStarts {
 		return
 	}
 	if u.answers++; u.answers < u.ColdAnswers {
 		return
 	}
-	u.answers, u.bears = 0, min(u.bears*2, u.Slots)
-	if u.bears == u.Slots {
-		u.warning.warm()
+	u.answers, u.limit = 0, min(u.limit*2, u.Slots)
+	if u.limit == u.Slots {
+		u.warning.turnWarm()
 	}
 }
 
-// streamsMost is how many requests one connection over HTTP/2 may carry.
-const streamsMost = 1000
+// maxConcurrentStreams is the maximum number of concurrent requests on an HTTP/2
+// connection.
+const maxConcurrentStreams = 1000
 
 // NewServer returns a server that speaks HTTP/1.1 and HTTP/2, both without TLS.
 func NewServer(h http.Handler) *http.Server {
 	p := &http.Protocols{}
 	p.SetHTTP1(true)
 	p.SetUnencryptedHTTP2(true)
-	return &http.Server{Handler: h, Protocols: p, HTTP2: &http.HTTP2Config{MaxConcurrentStreams: streamsMost}}
+	return &http.Server{Handler: h, Protocols: p, HTTP2: &http.HTTP2Config{MaxConcurrentStreams: maxConcurrentStreams}}
 }
 
 // Handler returns the upstream's HTTP interface.
@@ -224,7 +240,7 @@
 	m := http.NewServeMux()
 	m.HandleFunc("GET /healthz", u.health)
 	m.HandleFunc("GET /load", func(w http.ResponseWriter, _ *http.Request) {
-		fmt.Fprintln(w, rand.IntN(max(u.Slots, 1))) // lags and misleads
+		fmt.Fprintln(w, rand.IntN(max(u.Slots, 1))) // meaningless, as a load report may be stale or wrong
 	})
 	m.HandleFunc("GET /feed", u.feed)
 	m.HandleFunc("GET /screen", u.screen)
@@ -250,8 +266,9 @@
 	fmt.Fprintln(w, "ok")
 }
 
-// header sets what every answer carries and counts requests of other services.
-func (u *Upstream) header(w http.ResponseWriter, r *http.Request) {
+// setHeaders sets the headers of every answer and counts requests for other
+// services.
+func (u *Upstream) setHeaders(w http.ResponseWriter, r *http.Request) {
 	if want := r.Header.Get("Want-Service"); want != "" && want != u.Service {
 		u.Misrouted.Add(1)
 	}
@@ -260,8 +277,11 @@
 	w.Header().Set("Upstream-Zone", u.Zone)
 }
 
-func (u *Upstream) work(w http.ResponseWriter, r *http.Request) (p *piece, ok bool) {
-	u.header(w, r)
+// doWork waits for as long as the request takes. It is not ok if the request was
+// shed, in which case it was answered with status 503, or canceled; then doWork has
+// already called end.
+func (u *Upstream) doWork(w http.ResponseWriter, r *http.Request) (p *task, ok bool) {
+	u.setHeaders(w, r)
 	p, d, ok := u.begin(r)
 	if !ok {
 		u.end(p, false)
@@ -288,9 +308,9 @@
 	Last     bool   `json:"last,omitempty"`
 }
 
-// feed sends a line every interval, lines in all.
+// feed sends a number of lines at an interval, both given in the query.
 func (u *Upstream) feed(w http.ResponseWriter, r *http.Request) {
-	p, ok := u.work(w, r)
+	p, ok := u.doWork(w, r)
 	if !ok {
 		return
 	}
@@ -315,7 +335,7 @@
 	u.Served.Add(1)
 }
 
-// Reply is the answer to a screen or an order.
+// Reply is the answer to a screen, an order or an upload.
 type Reply struct {
 	Service  string `json:"service"`
 	Upstream string `json:"upstream"`
@@ -326,6 +346,7 @@
 	SHA256   string `json:"sha256,omitempty"`
 }
 
+// reply completes v with the upstream's names and sends it.
 func (u *Upstream) reply(w http.ResponseWriter, v Reply) {
 	v.Service, v.Upstream, v.Zone = u.Service, u.Name, u.Zone
 	u.Served.Add(1)
@@ -333,64 +354,67 @@
 }
 
 func (u *Upstream) screen(w http.ResponseWriter, r *http.Request) {
-	p, ok := u.work(w, r)
+	p, ok := u.doWork(w, r)
 	if !ok {
 		return
 	}
 	defer u.end(p, true)
-	c := crossing{id: r.Header.Get("Pomeloway-Request"), caller: r.URL.Query().Get("caller")}
-	if u.cross.Load() {
+	c := requestIdentity{id: r.Header.Get("Pomeloway-Request"), caller: r.URL.Query().Get("caller")}
+	if u.swapAnswers.Load() {
 		c = u.swap(c)
 	}
 	w.Header().Set("Pomeloway-Request", c.id)
 	u.reply(w, Reply{Caller: c.caller})
 }
 
-// crossing is what makes an answer that of one request.
-type crossing struct{ id, caller string }
+// requestIdentity is the part of an answer that identifies its request.
+type requestIdentity struct{ id, caller string }
 
-const crossWindow = 30 * time.Millisecond
+// swapWindow is how long an answer waits for another one to be swapped with.
+const swapWindow = 30 * time.Millisecond
 
-// pair is two requests whose answers are exchanged.
+// pair is two requests whose answers are swapped; paired is closed once the second
+// one is set.
 type pair struct {
-	first, second crossing
-	met           chan struct{}
+	first, second requestIdentity
+	paired        chan struct{}
 }
 
-// swap exchanges the answer with that of another request, if one comes soon.
-func (u *Upstream) swap(c crossing) crossing {
+// swap returns the identity of another request if one arrives within swapWindow,
+// and c otherwise.
+func (u *Upstream) swap(c requestIdentity) requestIdentity {
 	u.mu.Lock()
-	if p := u.waiting; p != nil {
-		u.waiting = nil
+	if p := u.unpaired; p != nil {
+		u.unpaired = nil
 		p.second = c
-		close(p.met)
+		close(p.paired)
 		u.mu.Unlock()
 		return p.first
 	}
-	p := &pair{first: c, met: make(chan struct{})}
-	u.waiting = p
+	p := &pair{first: c, paired: make(chan struct{})}
+	u.unpaired = p
 	u.mu.Unlock()
 	select {
-	case <-p.met:
+	case <-p.paired:
 		return p.second
-	case <-time.After(crossWindow):
+	case <-time.After(swapWindow):
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.waiting == p {
-		u.waiting = nil
+	if u.unpaired == p {
+		u.unpaired = nil
 		return c
 	}
 	return p.second
 }
 
-// order runs an order: the ledger is what it does to the world.
+// order runs an order. Its only side effect is the entry in the ledger.
 func (u *Upstream) order(w http.ResponseWriter, r *http.Request) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	p, ok := u.work(w, r)
+	p, ok := u.doWork(w, r)
 	if !ok {
 		return
 	}
@@ -399,7 +423,7 @@
 }
 
 func (u *Upstream) upload(w http.ResponseWriter, r *http.Request) {
-	p, ok := u.work(w, r)
+	p, ok := u.doWork(w, r)
 	if !ok {
 		return
 	}
@@ -412,9 +436,9 @@
 	u.reply(w, Reply{Caller: r.URL.Query().Get("caller"), SHA256: hex.EncodeToString(h.Sum(nil))})
 }
 
-// echo sends the request's body back as it comes.
+// echo sends the request body back while it receives it.
 func (u *Upstream) echo(w http.ResponseWriter, r *http.Request) {
-	p, ok := u.work(w, r)
+	p, ok := u.doWork(w, r)
 	if !ok {
 		return
 	}
