--- a/datagram/absence.go
+++ b/datagram/absence.go
@@ -28,13 +28,13 @@
 	u := &a.upstream
 	switch u.state {
 	case UpstreamUnknown:
-		return !u.answers && !u.listens
+		return !u.hasSent && !u.listens
 	case UpstreamGone:
 		return true
 	case UpstreamAbsent:
 		return false
 	}
-	return u.mute || u.silent(now) || now-u.announced > heartbeatTimeout
+	return u.callerRepeated || u.isSilent(now) || now-u.announcedAt > heartbeatTimeout
 }
 
 // probe starts a connection attempt to the upstream's address if a crash is suspected.
@@ -52,10 +52,10 @@
 	switch {
 	case a.Probe == nil || a.probing || u.state == UpstreamAbsent:
 		return math.MaxInt64
-	case u.mute:
+	case u.callerRepeated:
 		return a.lastProbe + probeInterval
-	case u.gave != 0:
-		return max(u.gave+silentUpstreamAfter+time.Millisecond, a.lastProbe+probeInterval)
+	case u.unansweredSince != 0:
+		return max(u.unansweredSince+upstreamSilenceTimeout+time.Millisecond, a.lastProbe+probeInterval)
 	}
 	return math.MaxInt64
 }
@@ -78,14 +78,14 @@
 	a.probing = false
 	u := &a.upstream
 	u.listens = p == ProbeAccepted
-	if p != ProbeRefused || u.state == UpstreamAbsent || u.state != UpstreamUnknown && u.announced >= a.lastProbe {
+	if p != ProbeRefused || u.state == UpstreamAbsent || u.state != UpstreamUnknown && u.announcedAt >= a.lastProbe {
 		// An announcement that arrived after the probe began takes precedence: the
 		// connection was refused just before the upstream started to listen.
 		return
 	}
 	a.endFlows(now, now)
 	// The agent knows every flow of an upstream that starts at this address later.
-	u.state, u.complete, u.gave = UpstreamAbsent, true, 0
+	u.state, u.allFlowsKnown, u.unansweredSince = UpstreamAbsent, true, 0
 	a.Log.upstreamChanged(u, false)
 	a.broadcastStatus(now)
 }
@@ -98,8 +98,8 @@
 			f.born = a.upstream.born // if the upstream does not hold it, it bounces its packets
 			continue
 		}
-		if f.phase == flowOpen && !f.finished && f.number != 0 {
-			a.cut(k, f, f.number, now)
+		if f.phase == flowOpen && !f.finished && f.ackNumber != 0 {
+			a.resetFlow(k, f, f.ackNumber, now)
 		}
 		a.flows.remove(k)
 	}
--- a/datagram/agent.go
+++ b/datagram/agent.go
@@ -62,11 +62,11 @@
 	flows            table[*flowState]
 	openFlows        int
 	underWay         int
-	expectedRequests coming
+	expectedRequests expectedRequests
 	lastRecount      time.Duration
 	probing          bool
 	lastProbe        time.Duration // when the last probe began; 0: never
-	recalled         recall
+	recalled         recordedState
 	pending          [maxPending]pending
 	lastScratch      uint32
 	sequence         uint32
@@ -152,7 +152,7 @@
 		return false
 	}
 	previous := a.upstream.state
-	fresh, reborn := a.upstream.accept(n, now)
+	fresh, reborn := a.upstream.apply(n, now)
 	if !fresh {
 		return true
 	}
@@ -198,9 +198,9 @@
 	}
 	switch h.Kind {
 	case KindOpening:
-		a.offer(from, h, p, now)
+		a.handleOpening(from, h, p, now)
 	case KindPacket:
-		a.packet(from, h, m, now)
+		a.handlePacket(from, h, m, now)
 	case KindBalancer:
 		a.handleBalancerStatus(from, p, now)
 	case KindResend:
@@ -260,7 +260,7 @@
 
 // Tick does the work that is due and returns when it must be called again.
 func (a *Agent) Tick(now time.Duration) time.Duration {
-	a.flows.tick(now)
+	a.flows.rotate(now)
 	a.probe(now)
 	if now-a.lastRecount >= recountInterval {
 		a.lastRecount = now
@@ -344,13 +344,13 @@
 		Life: a.Life, Sequence: a.sequence, Uptime: MillisOf(now), Service: a.Service, Zone: a.Zone,
 		Interval: MillisOf(interval), State: a.upstream.state, Leaving: a.leaving, Slots: uint16(a.upstream.slots),
 		Flows: uint16(max(0, min(a.openFlows, 1<<16-1))), UnderWay: uint16(max(0, min(a.underWay, 1<<16-1))),
-		Homes: a.homes.digest, Epoch: b.epoch, Entries: b.entries, KnowsAll: a.knowsAll(now),
+		Homes: a.homes.digest, Epoch: b.epoch, Entries: b.entries, KnowsAll: a.knowsAllFlows(now),
 	}
-	if s.State == UpstreamReady && a.upstream.silent(now) {
+	if s.State == UpstreamReady && a.upstream.isSilent(now) {
 		s.State = UpstreamSilent
 	}
-	if now < a.upstream.coldTill {
-		s.ColdRemaining = MillisOf(a.upstream.coldTill - now)
+	if now < a.upstream.coldUntil {
+		s.ColdRemaining = MillisOf(a.upstream.coldUntil - now)
 	}
 	m := s.append(a.scratch[:HeaderLen])
 	if withHomes && len(a.homes.ips) <= maxHomesListed {
--- a/datagram/agentview.go
+++ b/datagram/agentview.go
@@ -166,10 +166,10 @@
 // knowsHomes reports whether the balancer knows the home set that the agent uses: either
 // the agent listed it, or it equals the balancer's own set.
 func (a *agentView) knowsHomes(own *homeSet) bool {
-	if own.knows(a.status.Homes) {
+	if own.hasDigest(a.status.Homes) {
 		a.homes = *own
 	}
-	return a.homes.knows(a.status.Homes)
+	return a.homes.hasDigest(a.status.Homes)
 }
 
 // unseenTimeout is the time after which a recorded agent is considered failed if it never
@@ -191,7 +191,7 @@
 func (a *agentView) holdsNoFlows() bool {
 	s := &a.status
 	return s.State == UpstreamGone || s.State == UpstreamAbsent ||
-		s.State == UpstreamUnknown && s.KnowsAll && s.Uptime.Duration() > announcedWithin
+		s.State == UpstreamUnknown && s.KnowsAll && s.Uptime.Duration() > firstAnnouncementTimeout
 }
 
 // mayBeAlive reports whether an agent that is silent may still hold flows, which is so
--- a/datagram/balancer.go
+++ b/datagram/balancer.go
@@ -96,7 +96,7 @@
 	b.homes = newHomeSet([]IP{b.Self})
 	b.directory = newDirectory()
 	if b.LookupRate == 0 {
-		b.LookupRate = lookupUsual
+		b.LookupRate = defaultLookupRate
 	}
 	b.lookups.byFlow = map[Flow]*lookup{}
 	b.lookups.budget.fill(b.LookupRate)
@@ -176,7 +176,7 @@
 		return
 	}
 	if p.Open && !p.Ack {
-		b.open(m, p, now)
+		b.handleOpening(m, p, now)
 		return
 	}
 	b.Count.Packets++
@@ -187,7 +187,7 @@
 			return
 		}
 	}
-	b.look(m, p, 0, now)
+	b.lookUp(m, p, 0, now)
 }
 
 // needsLookup reports whether the caller retransmits on a flow whose agent is not
@@ -206,9 +206,9 @@
 	return a == nil || !a.reachable(now)
 }
 
-// handleNotMine processes a packet that was returned by the agent at which its flow was
+// handleReturned processes a packet that was returned by the agent at which its flow was
 // cached.
-func (b *Balancer) handleNotMine(from IP, m []byte, h Message, now time.Duration) {
+func (b *Balancer) handleReturned(from IP, m []byte, h Message, now time.Duration) {
 	p, ok := b.Format.Parse(m[HeaderLen:])
 	if !ok {
 		b.Count.BadPackets++
@@ -220,7 +220,7 @@
 	if h.Flags.has(FlagUnsure) {
 		from = 0 // the agent can't tell whether the flow is gone
 	}
-	b.look(m, p, from, now)
+	b.lookUp(m, p, from, now)
 	if l := b.lookups.byFlow[p.Flow]; l != nil {
 		l.flags |= h.Flags & FlagKnownOnly
 	}
@@ -253,7 +253,7 @@
 		return
 	}
 	b.detectPause(now)
-	if h.Kind.ofAgent() {
+	if h.Kind.isFromAgent() {
 		b.lastAgentMessage = now
 	}
 	switch h.Kind {
@@ -264,23 +264,23 @@
 	case KindSilent:
 		b.handleSilent(p, now)
 	case KindOpened:
-		b.opened(from, h, p, now)
+		b.handleOpened(from, h, p, now)
 	case KindRefused:
-		b.refused(from, h, now)
-	case KindMine:
-		if f, ok := flowFrom(p); ok {
-			b.found(from, f, now)
+		b.handleRefused(from, h, now)
+	case KindHeld:
+		if f, ok := decodeFlow(p); ok {
+			b.handleHeld(from, f, now)
 		}
-	case KindNotMine:
-		b.handleNotMine(from, m, h, now)
-	case KindDenied:
-		b.denied(from, h, p, now)
+	case KindReturned:
+		b.handleReturned(from, m, h, now)
+	case KindNotHeld:
+		b.handleNotHeld(from, h, p, now)
 	case KindEntries:
-		b.hearEntries(from, p)
+		b.handleEntries(from, p)
 	case KindLocate:
-		b.locate(from, p, now)
+		b.handleLocate(from, p, now)
 	case KindLocated:
-		b.hearLocated(from, p, now)
+		b.handleLocated(from, p, now)
 	}
 }
 
@@ -288,21 +288,21 @@
 func (b *Balancer) Tick(now time.Duration) time.Duration {
 	b.detectPause(now)
 	b.checkCutOff(now)
-	b.retry(now)
-	b.lookAgain(now)
-	b.flows.tick(now)
-	b.directory.tick(now)
+	b.retryExpired(now)
+	b.runLookups(now)
+	b.flows.rotate(now)
+	b.directory.expire(now)
 	if now-b.lastStatus >= StatusInterval {
 		b.suspectSilent(now)
 		b.verifySuspects(now)
 		b.sendPeriodicStatus(now)
 		b.sendStatusToNew(now)
 		b.agents.expire(now)
-		b.forgetLogs()
+		b.forgetTrackers()
 		b.expirePeers(now)
 		b.updateHomes(now)
 	}
-	at := min(b.openings.due(), b.lastStatus+StatusInterval)
+	at := min(b.openings.nextDeadline(), b.lastStatus+StatusInterval)
 	if len(b.lookups.queue) > 0 {
 		at = min(at, b.lookups.next)
 	}
--- a/datagram/bench_test.go
+++ b/datagram/bench_test.go
@@ -98,7 +98,7 @@
 		b.Run(fmt.Sprintf("home/%d", n), func(b *testing.B) {
 			for b.Loop() {
 				b.ReportMetric(heapOf(n, func() any {
-					t := newTable[holders](directoryTurn, directoryMost)
+					t := newTable[holders](directoryInterval, maxDirectoryFlows)
 					for i := range n {
 						t.set(flow(i), holders{1})
 					}
@@ -122,7 +122,7 @@
 
 // BenchmarkLocate measures the answer of a home to a lookup, in a fleet of 400 balancers:
 // with the pass over all agents that computes the directory's coverage (at most once per
-// coverageFor), and without it.
+// coverageInterval), and without it.
 func BenchmarkLocate(b *testing.B) {
 	for _, n := range []int{10, 250, 2400} {
 		x, _ := benchBalancer(b, testKeys(b))
@@ -140,11 +140,11 @@
 			b.Run(fmt.Sprintf("%d agents, %s", n, name), func(b *testing.B) {
 				for b.Loop() {
 					if look {
-						x.directory.coverage.at = 0
+						x.directory.coverage.computedAt = 0
 					}
-					x.locate(2, p, benchTime)
+					x.handleLocate(2, p, benchTime)
 				}
-				if !x.directory.coverage.ok {
+				if !x.directory.coverage.complete {
 					b.Error("the directory does not cover all agents")
 				}
 			})
--- a/datagram/decisions_test.go
+++ b/datagram/decisions_test.go
@@ -50,7 +50,7 @@
 	if len(b) < 1+flowLen {
 		return Packet{}, false
 	}
-	f, ok := flowFrom(b[1:])
+	f, ok := decodeFlow(b[1:])
 	return Packet{Flow: f, Open: b[0] == plainOpening, Length: len(b) - 1 - flowLen}, ok
 }
 
--- a/datagram/directory.go
+++ b/datagram/directory.go
@@ -13,74 +13,74 @@
 
 const (
 	// directoryInterval is longer than the interval at which agents repeat their entries.
-	directoryTurn = refreshInterval + time.Minute
+	directoryInterval = refreshInterval + time.Minute
 	// maxDirectoryFlows bounds the memory of a directory.
-	directoryMost = 400_000
+	maxDirectoryFlows = 400_000
 	// resendInterval is the minimum interval between requests to one agent to resend its
 	// entries.
-	resendEvery = 300 * time.Millisecond
+	resendInterval = 300 * time.Millisecond
 	// coverageInterval is the minimum interval between computations of the coverage, each
 	// of which visits all agents.
-	coverageFor = 10 * time.Millisecond
+	coverageInterval = 10 * time.Millisecond
 	// maxUncovered bounds the agents that a lookup has to ask itself.
-	unsureMost = 16
+	maxUncovered = 16
 )
 
 // directory is what a home knows about the locations of flows.
 type directory struct {
-	flows table[holders]
-	logs  map[IP]*entryLog
+	flows    table[holders]
+	trackers map[IP]*entryTracker
 	// droppedAt is when entries were last removed because the table was full. 0 means never.
-	dropped  time.Duration
-	coverage coverage
+	droppedAt time.Duration
+	coverage  coverage
 }
 
 // coverage describes the flows for which a directory knows every agent that holds them.
 type coverage struct {
-	at time.Duration // when it was computed
-	ok bool
+	computedAt time.Duration // when it was computed
+	complete   bool
 	// uncovered are the agents that do not know all flows of their upstreams, as they
 	// started after them, and have to be asked directly. homeSets are the sets from which
 	// the other agents choose homes.
-	unsure []IP
-	sets   []homeSet
+	uncovered []IP
+	homeSets  []homeSet
 }
 
 // covers reports whether the home would know the flow if any agent held it, other than the
 // uncovered ones.
-func (c *coverage) of(f Flow, home IP) bool {
-	for i := range c.sets {
-		if !c.sets[i].of(f).has(home) {
+func (c *coverage) covers(f Flow, home IP) bool {
+	for i := range c.homeSets {
+		if !c.homeSets[i].choose(f).has(home) {
 			return false
 		}
 	}
-	return c.ok
+	return c.complete
 }
 
 func newDirectory() directory {
-	return directory{flows: newTable[holders](directoryTurn, directoryMost), logs: map[IP]*entryLog{}}
+	return directory{flows: newTable[holders](directoryInterval, maxDirectoryFlows), trackers: map[IP]*entryTracker{}}
 }
 
 // expire drops entries that agents did not repeat.
-func (d *directory) tick(now time.Duration) {
-	early := now-d.flows.turned < directoryTurn
-	if len(d.flows.tick(now)) > 0 && early {
-		d.dropped = now
+func (d *directory) expire(now time.Duration) {
+	early := now-d.flows.rotatedAt < directoryInterval
+	if len(d.flows.rotate(now)) > 0 && early {
+		d.droppedAt = now
 	}
 }
 
 // entryTracker tracks which entries of an agent this home has received.
-type entryLog struct {
-	life  Life
-	epoch uint32
-	next  uint32 // the number below which all entries have arrived
-	ahead uint64 // bit mask of the 64 entries from next on that have arrived
-	asked time.Duration
-	late  bool // entries were already missing at the previous status
+type entryTracker struct {
+	life       Life
+	epoch      uint32
+	next       uint32 // the number below which all entries have arrived
+	ahead      uint64 // bit mask of the 64 entries from next on that have arrived
+	lastResend time.Duration
+	wasMissing bool // entries were already missing at the previous status
 }
 
 // markReceived records the arrival of an entry. Entries may arrive in any order.
-func (l *entryLog) arrived(n uint32) {
+func (l *entryTracker) markReceived(n uint32) {
 	if at := n - l.next; at < 64 {
 		l.ahead |= 1 << at
 	}
@@ -92,7 +92,7 @@
 
 // isComplete reports whether all entries have arrived that the agent had sent before it sent
 // the status.
-func (l *entryLog) complete(s *AgentStatus) bool {
+func (l *entryTracker) isComplete(s *AgentStatus) bool {
 	switch {
 	case l == nil, l.life != s.Life:
 		return s.Entries == 0
@@ -103,39 +103,39 @@
 }
 
 // entriesHeader is the header of a message with entries.
-type entriesHead struct {
+type entriesHeader struct {
 	Life  Life
 	Epoch uint32
 	First uint32
 }
 
 const (
-	entriesHeadLen = 8 + 4 + 4
+	entriesHeaderLen = 8 + 4 + 4
 	// maxEntries is how many entries fit into one datagram.
-	entriesMost = 100
+	maxEntries = 100
 )
 
 // handleEntries adds flows that an agent reports to hold.
-func (b *Balancer) hearEntries(from IP, p []byte) {
-	var h entriesHead
-	if _, err := binary.Decode(p, binary.BigEndian, &h); err != nil || (len(p)-entriesHeadLen)%flowLen != 0 {
+func (b *Balancer) handleEntries(from IP, p []byte) {
+	var h entriesHeader
+	if _, err := binary.Decode(p, binary.BigEndian, &h); err != nil || (len(p)-entriesHeaderLen)%flowLen != 0 {
 		b.Count.BadMessages++
 		return
 	}
 	if a := b.agents.byIP[from]; a != nil && a.isPreviousLife(h.Life) {
 		return
 	}
-	l := b.directory.log(from, &h)
+	l := b.directory.trackerFor(from, &h)
 	if l == nil {
 		return
 	}
 	n := h.First
-	for p = p[entriesHeadLen:]; len(p) > 0; p = p[flowLen:] {
-		f, _ := flowFrom(p)
+	for p = p[entriesHeaderLen:]; len(p) > 0; p = p[flowLen:] {
+		f, _ := decodeFlow(p)
 		x, _ := b.directory.flows.get(f)
 		x.add(from)
 		b.directory.flows.set(f, x)
-		l.arrived(n)
+		l.markReceived(n)
 		n++
 		b.Count.Entries++
 	}
@@ -143,12 +143,12 @@
 
 // trackerFor returns the agent's tracker, reset if the agent has started a new epoch or was
 // restarted. It returns nil if the entries are of an earlier epoch.
-func (d *directory) log(from IP, h *entriesHead) *entryLog {
-	l := d.logs[from]
+func (d *directory) trackerFor(from IP, h *entriesHeader) *entryTracker {
+	l := d.trackers[from]
 	switch {
 	case l == nil:
-		l = &entryLog{life: h.Life, epoch: h.Epoch}
-		d.logs[from] = l
+		l = &entryTracker{life: h.Life, epoch: h.Epoch}
+		d.trackers[from] = l
 	case l.life == h.Life && int32(h.Epoch-l.epoch) < 0:
 		return nil
 	case l.life != h.Life || l.epoch != h.Epoch:
@@ -160,25 +160,25 @@
 // checkEntries requests all entries of the agent again if entries were missing at two
 // consecutive statuses. At one status an entry may just be late.
 func (b *Balancer) checkEntries(from IP, s *AgentStatus, now time.Duration) {
-	l := b.directory.logs[from]
-	if l.complete(s) {
+	l := b.directory.trackers[from]
+	if l.isComplete(s) {
 		if l != nil {
-			l.late = false
+			l.wasMissing = false
 		}
 		return
 	}
 	if l == nil {
-		l = &entryLog{life: s.Life, epoch: s.Epoch}
-		b.directory.logs[from] = l
+		l = &entryTracker{life: s.Life, epoch: s.Epoch}
+		b.directory.trackers[from] = l
 	}
-	if !l.late {
-		l.late = true
+	if !l.wasMissing {
+		l.wasMissing = true
 		return
 	}
-	if l.asked != 0 && now-l.asked < resendEvery {
+	if l.lastResend != 0 && now-l.lastResend < resendInterval {
 		return
 	}
-	l.asked = now
+	l.lastResend = now
 	b.Count.Resends++
 	b.Log.entriesMissing(from, s.Life)
 	b.send(b.scratch[:HeaderLen], Message{Kind: KindResend}, from)
@@ -188,11 +188,11 @@
 func (b *Balancer) coverage(now time.Duration) *coverage {
 	d := &b.directory
 	c := &d.coverage
-	if c.at == 0 || now-c.at >= coverageFor {
-		*c = coverage{at: now, unsure: c.unsure[:0], sets: c.sets[:0]}
-		c.ok = b.membersRead && !b.lostPeers(now) && (d.dropped == 0 || now-d.dropped > 2*directoryTurn) && b.cover(c, now)
-		if !c.ok {
-			c.unsure = c.unsure[:0] // incomplete, and so of no use to a lookup
+	if c.computedAt == 0 || now-c.computedAt >= coverageInterval {
+		*c = coverage{computedAt: now, uncovered: c.uncovered[:0], homeSets: c.homeSets[:0]}
+		c.complete = b.membersRead && !b.lostPeers(now) && (d.droppedAt == 0 || now-d.droppedAt > 2*directoryInterval) && b.computeCoverage(c, now)
+		if !c.complete {
+			c.uncovered = c.uncovered[:0] // incomplete, and so of no use to a lookup
 		}
 	}
 	return c
@@ -201,7 +201,7 @@
 // computeCoverage computes the coverage and reports whether the directory is complete. It is
 // not if this balancer reaches less than half of the agents: then it is more likely cut off
 // than all of them dead.
-func (b *Balancer) cover(c *coverage, now time.Duration) bool {
+func (b *Balancer) computeCoverage(c *coverage, now time.Duration) bool {
 	d := &b.directory
 	unheard := 0
 	for ip, a := range b.agents.byIP {
@@ -213,11 +213,11 @@
 		case !a.reachable(now), b.stale(a):
 			return false
 		case !a.status.KnowsAll:
-			if len(c.unsure) == unsureMost {
+			if len(c.uncovered) == maxUncovered {
 				return false
 			}
-			c.unsure = append(c.unsure, ip)
-		case !a.knowsHomes(&b.homes), !d.logs[ip].complete(&a.status), !c.add(a.homes):
+			c.uncovered = append(c.uncovered, ip)
+		case !a.knowsHomes(&b.homes), !d.trackers[ip].isComplete(&a.status), !c.add(a.homes):
 			return false
 		}
 	}
@@ -226,55 +226,55 @@
 
 // maxHomeSets bounds the sets that are checked for each flow. There may be several, as
 // agents learn of balancers that start together in different orders.
-const setsMost = 64
+const maxHomeSets = 64
 
 // add adds a set from which an agent chooses homes, and returns false if there are too many.
 func (c *coverage) add(s homeSet) bool {
-	if slices.ContainsFunc(c.sets, func(o homeSet) bool { return o.digest == s.digest }) {
+	if slices.ContainsFunc(c.homeSets, func(o homeSet) bool { return o.digest == s.digest }) {
 		return true
 	}
-	c.sets = append(c.sets, s)
-	return len(c.sets) <= setsMost
+	c.homeSets = append(c.homeSets, s)
+	return len(c.homeSets) <= maxHomeSets
 }
 
 // forgetTrackers drops the trackers of agents that were forgotten.
-func (b *Balancer) forgetLogs() {
-	for ip := range b.directory.logs {
+func (b *Balancer) forgetTrackers() {
+	for ip := range b.directory.trackers {
 		if b.agents.byIP[ip] == nil {
-			delete(b.directory.logs, ip)
+			delete(b.directory.trackers, ip)
 		}
 	}
 }
 
-// flowLocation is a home's answer about one flow.
-type located struct {
-	flow    Flow
-	sure    bool // the home knows every agent that may hold the flow
-	holders []IP
+// locateResult is a home's answer about one flow.
+type locateResult struct {
+	flow          Flow
+	authoritative bool // the home knows every agent that may hold the flow
+	holders       []IP
 }
 
 const (
 	// maxLocateFlows bounds the flows in one request, so that the answer fits one message.
-	locateMost = 40
+	maxLocateFlows = 40
 	// notAuthoritativeBit is set in the number of holders if the home may lack some.
-	unsureBit = 0x80
+	notAuthoritativeBit = 0x80
 )
 
 // handleLocate answers a balancer that asks which agents hold flows.
-func (b *Balancer) locate(from IP, p []byte, now time.Duration) {
-	if len(p) == 0 || len(p)%flowLen != 0 || len(p) > locateMost*flowLen {
+func (b *Balancer) handleLocate(from IP, p []byte, now time.Duration) {
+	if len(p) == 0 || len(p)%flowLen != 0 || len(p) > maxLocateFlows*flowLen {
 		b.Count.BadMessages++
 		return
 	}
 	c := b.coverage(now)
-	m := append(b.scratch[:HeaderLen], byte(len(c.unsure)))
-	m = appendIPs(m, c.unsure)
+	m := append(b.scratch[:HeaderLen], byte(len(c.uncovered)))
+	m = appendIPs(m, c.uncovered)
 	for ; len(p) > 0; p = p[flowLen:] {
-		f, _ := flowFrom(p)
+		f, _ := decodeFlow(p)
 		x, _ := b.directory.flows.get(f)
 		n := byte(len(x.list()))
-		if !c.of(f, b.Self) {
-			n |= unsureBit
+		if !c.covers(f, b.Self) {
+			n |= notAuthoritativeBit
 		}
 		m = append(appendFlow(m, f), n)
 		m = appendIPs(m, x.list())
@@ -298,11 +298,11 @@
 }
 
 // decodeIPs decodes a count, whose highest bit is ignored, and that many addresses.
-func cutIPs(b []byte) (ips []IP, rest []byte, ok bool) {
-	if len(b) == 0 || len(b) < 1+4*int(b[0]&^unsureBit) {
+func decodeIPs(b []byte) (ips []IP, rest []byte, ok bool) {
+	if len(b) == 0 || len(b) < 1+4*int(b[0]&^notAuthoritativeBit) {
 		return nil, nil, false
 	}
-	n := int(b[0] &^ unsureBit)
+	n := int(b[0] &^ notAuthoritativeBit)
 	for b = b[1:]; n > 0; n-- {
 		ips = append(ips, IP(binary.BigEndian.Uint32(b)))
 		b = b[4:]
@@ -311,21 +311,21 @@
 }
 
 // decodeLocated decodes a home's answer.
-func decodeLocated(b []byte) (unsure []IP, ls []located, ok bool) {
-	if unsure, b, ok = cutIPs(b); !ok {
+func decodeLocated(b []byte) (uncovered []IP, ls []locateResult, ok bool) {
+	if uncovered, b, ok = decodeIPs(b); !ok {
 		return nil, nil, false
 	}
 	for len(b) > 0 {
-		var l located
-		if l.flow, ok = flowFrom(b); !ok {
+		var l locateResult
+		if l.flow, ok = decodeFlow(b); !ok {
 			return nil, nil, false
 		}
 		b = b[flowLen:]
-		l.sure = len(b) > 0 && b[0]&unsureBit == 0
-		if l.holders, b, ok = cutIPs(b); !ok {
+		l.authoritative = len(b) > 0 && b[0]&notAuthoritativeBit == 0
+		if l.holders, b, ok = decodeIPs(b); !ok {
 			return nil, nil, false
 		}
 		ls = append(ls, l)
 	}
-	return unsure, ls, true
+	return uncovered, ls, true
 }
--- a/datagram/directory_test.go
+++ b/datagram/directory_test.go
@@ -11,7 +11,7 @@
 
 // Guards against processes that compute different homes for a flow, and against flows that
 // change homes without need when a balancer is removed.
-func TestHomesAreSharedAndStay(t *testing.T) {
+func TestHomesAreDeterministicAndStable(t *testing.T) {
 	ips := make([]IP, 23)
 	for i := range ips {
 		ips[i] = IP(i + 1)
@@ -26,12 +26,12 @@
 	load := map[IP]int{}
 	for port := range uint16(5000) {
 		f := testFlow(port)
-		h := s.of(f)
-		if h != o.of(f) || h[0] == 0 || h[0] == h[1] || h[1] == 0 {
-			t.Fatalf("homes %v, and %v from the same set in another order", h, o.of(f))
+		h := s.choose(f)
+		if h != o.choose(f) || h[0] == 0 || h[0] == h[1] || h[1] == 0 {
+			t.Fatalf("homes %v, and %v from the same set in another order", h, o.choose(f))
 		}
-		if !h.has(7) && h != fewer.of(f) {
-			t.Fatalf("homes %v became %v after an unrelated balancer was removed", h, fewer.of(f))
+		if !h.has(7) && h != fewer.choose(f) {
+			t.Fatalf("homes %v became %v after an unrelated balancer was removed", h, fewer.choose(f))
 		}
 		load[h[0]]++
 		load[h[1]]++
@@ -41,13 +41,13 @@
 			t.Errorf("%v is home of %d of 5,000 flows, want about 435", ip, n)
 		}
 	}
-	if h := (&homeSet{}).of(testFlow(1)); h != (homes{}) {
+	if h := (&homeSet{}).choose(testFlow(1)); h != (homes{}) {
 		t.Errorf("homes %v in an empty set", h)
 	}
 }
 
 // Guards against a home that considers its directory complete while entries are missing.
-func TestLogNoticesWhatIsMissing(t *testing.T) {
+func TestEntryTrackerDetectsLoss(t *testing.T) {
 	for name, x := range map[string]struct {
 		arrive []uint32
 		status AgentStatus
@@ -67,11 +67,11 @@
 		"entry far ahead":                   {[]uint32{0, 900}, AgentStatus{Life: 1, Epoch: 4, Entries: 2}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := &entryLog{life: 1, epoch: 4}
+			l := &entryTracker{life: 1, epoch: 4}
 			for _, n := range x.arrive {
-				l.arrived(n)
+				l.markReceived(n)
 			}
-			if l.complete(&x.status) != x.want {
+			if l.isComplete(&x.status) != x.want {
 				t.Errorf("complete: %t, tracker %+v", !x.want, l)
 			}
 		})
@@ -125,7 +125,7 @@
 }
 
 // advanceTime moves the clock forward and runs the ticks.
-func (p *testPair) pass(d time.Duration) {
+func (p *testPair) advanceTime(d time.Duration) {
 	for end := p.now + d; p.now < end; p.now += 10 * time.Millisecond {
 		p.a.Tick(p.now - p.born)
 		p.b.Tick(p.now)
@@ -133,7 +133,7 @@
 }
 
 // openFlow has the agent's upstream accept a flow.
-func (p *testPair) hold(port uint16) {
+func (p *testPair) openFlow(port uint16) {
 	f := &flowState{phase: flowAccepted, born: 5}
 	p.a.flows.set(testFlow(port), f)
 	p.a.register(testFlow(port), f, p.now-p.born)
@@ -146,14 +146,14 @@
 
 // Guards against a home that denies a flow whose entry was lost, or that it forgot in a
 // restart. The home must not be authoritative until it has received all entries again.
-func TestDirectoryBecomesWholeAgain(t *testing.T) {
+func TestDirectoryRecovers(t *testing.T) {
 	for name, fault := range map[string]func(t *testing.T, p *testPair){
 		"nothing lost": func(*testing.T, *testPair) {},
 		"an entry is lost": func(t *testing.T, p *testPair) {
 			p.drop = func(k Kind) bool { return k == KindEntries }
-			p.hold(2)
-			p.pass(2 * StatusInterval)
-			if p.b.coverage(p.now).ok {
+			p.openFlow(2)
+			p.advanceTime(2 * StatusInterval)
+			if p.b.coverage(p.now).complete {
 				t.Error("the directory is considered complete although an entry is missing")
 			}
 			p.drop = nil
@@ -164,7 +164,7 @@
 			p.b.Start()
 			p.b.membersRead = true
 			p.b.agents.applyRecords([]Member{{IP: testAgent, Agent: true, Service: 7}}, p.now)
-			if p.b.coverage(p.now).ok {
+			if p.b.coverage(p.now).complete {
 				t.Error("an empty directory is considered complete")
 			}
 		},
@@ -175,13 +175,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newTestPair(t)
-			p.hold(1)
-			p.pass(2 * StatusInterval)
+			p.openFlow(1)
+			p.advanceTime(2 * StatusInterval)
 			fault(t, p)
-			p.hold(3)
-			p.pass(2 * time.Second)
-			if c := p.b.coverage(p.now); !c.ok || len(c.unsure) > 0 {
-				t.Errorf("complete: %t, uncovered agents %v", c.ok, c.unsure)
+			p.openFlow(3)
+			p.advanceTime(2 * time.Second)
+			if c := p.b.coverage(p.now); !c.complete || len(c.uncovered) > 0 {
+				t.Errorf("complete: %t, uncovered agents %v", c.complete, c.uncovered)
 			}
 			for port, f := range map[uint16]bool{1: true, 2: name == "an entry is lost", 3: true, 4: false} {
 				if p.knows(port) != f {
@@ -193,26 +193,26 @@
 }
 
 // Guards against late entries from an earlier run of an agent.
-func TestEntriesOfAFormerLifeChangeNothing(t *testing.T) {
+func TestEntriesOfEarlierRunAreIgnored(t *testing.T) {
 	now := 10 * time.Second
 	b, _ := testBalancer(t, 1, now)
 	b.agents.applyStatus(1, AgentStatus{Life: 9, Sequence: 1, Service: 7, KnowsAll: true, Homes: b.homes.digest}, now+time.Second)
 	for _, life := range []Life{9, 1} {
-		p := make([]byte, entriesHeadLen+flowLen)
+		p := make([]byte, entriesHeaderLen+flowLen)
 		p[7] = byte(life)
-		testFlow(uint16(life)).put(p[entriesHeadLen:])
-		b.hearEntries(1, p)
+		testFlow(uint16(life)).put(p[entriesHeaderLen:])
+		b.handleEntries(1, p)
 	}
 	_, ok := b.directory.flows.get(testFlow(9))
 	_, late := b.directory.flows.get(testFlow(1))
-	if !ok || late || b.directory.logs[1].life != 9 {
-		t.Errorf("entries of the current run lost or of the earlier run accepted, tracker %+v", b.directory.logs[1])
+	if !ok || late || b.directory.trackers[1].life != 9 {
+		t.Errorf("entries of the current run lost or of the earlier run accepted, tracker %+v", b.directory.trackers[1])
 	}
 }
 
 // Guards against flows that are missing in the directories of their new homes after a
 // balancer was added or removed.
-func TestFlowsFollowTheirHomes(t *testing.T) {
+func TestFlowsAreReportedToNewHomes(t *testing.T) {
 	s := newRecorder(t)
 	a := &Agent{Service: 7, Format: plainFormat{}, Out: s, Keys: testKeys(t)}
 	a.Start()
@@ -255,7 +255,7 @@
 		t.Errorf("the fifth balancer got entries of %d of 100 flows, want about 40", n)
 	}
 	before := a.balancers[101].entries
-	now += homeSilentLeast + time.Second
+	now += minHomeTimeout + time.Second
 	for ip := IP(101); ip <= 104; ip++ {
 		a.balancers[ip].lastSeen = now
 	}
@@ -268,25 +268,25 @@
 }
 
 func FuzzEntries(f *testing.F) {
-	f.Add(make([]byte, entriesHeadLen+flowLen))
+	f.Add(make([]byte, entriesHeaderLen+flowLen))
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, p []byte) {
 		b := &Balancer{Self: testSelf}
 		b.Start()
-		b.hearEntries(1, p)
-		b.locate(2, p, time.Second)
+		b.handleEntries(1, p)
+		b.handleLocate(2, p, time.Second)
 	})
 }
 
 // homeViews records what each balancer received: the set from which the agent chooses homes,
 // and the flows that the agent holds.
-type believers struct {
+type homeViews struct {
 	keys  link.Keys
 	sets  map[IP]homeSet
 	flows map[IP]map[Flow]bool
 }
 
-func (o *believers) ToProcess(to IP, m []byte) {
+func (o *homeViews) ToProcess(to IP, m []byte) {
 	var h Message
 	p, _ := h.Get(m, o.keys)
 	switch h.Kind {
@@ -299,23 +299,23 @@
 		if o.flows[to] == nil {
 			o.flows[to] = map[Flow]bool{}
 		}
-		for p = p[entriesHeadLen:]; len(p) > 0; p = p[flowLen:] {
-			f, _ := flowFrom(p)
+		for p = p[entriesHeaderLen:]; len(p) > 0; p = p[flowLen:] {
+			f, _ := decodeFlow(p)
 			o.flows[to][f] = true
 		}
 	}
 }
 
-func (o *believers) ToCaller(IP, []byte) {}
+func (o *homeViews) ToCaller(IP, []byte) {}
 
-func (o *believers) ToUpstream([]byte) {}
+func (o *homeViews) ToUpstream([]byte) {}
 
 // Guards against resetting a live flow. While balancers start one after another, one of them
 // may still have an earlier set from which the agent chose homes. By that set it is a home of
 // flows, and without an entry it would deny them.
-func TestFlowsAreToldToWhoeverBelievesToBeTheirHome(t *testing.T) {
+func TestFlowsAreReportedToAllPossibleHomes(t *testing.T) {
 	keys := testKeys(t)
-	o := &believers{keys: keys, sets: map[IP]homeSet{}, flows: map[IP]map[Flow]bool{}}
+	o := &homeViews{keys: keys, sets: map[IP]homeSet{}, flows: map[IP]map[Flow]bool{}}
 	a := &Agent{Service: 7, Format: plainFormat{}, Out: o, Keys: keys}
 	a.Start()
 	a.HandleAnnouncement(&Announcement{Service: 7, Born: 5, Sequence: 1, Slots: 5}, 0)
@@ -343,7 +343,7 @@
 		}
 		for b, s := range o.sets {
 			for p := uint16(1); p <= port; p++ {
-				if s.of(testFlow(p)).has(b) && !o.flows[b][testFlow(p)] {
+				if s.choose(testFlow(p)).has(b) && !o.flows[b][testFlow(p)] {
 					t.Fatalf("after %d balancers, %v is a home of flow %d in its set of %d balancers, but got no entry", ip-100, b, p, len(s.ips))
 				}
 			}
--- a/datagram/flows.go
+++ b/datagram/flows.go
@@ -11,31 +11,31 @@
 
 // flowState is what the agent knows about a flow at its upstream.
 type flowState struct {
-	phase    flowPhase
-	underWay bool   // a request is in progress
-	finished bool   // the caller or the upstream has closed or reset it
-	born     int64  // Announcement.Born of the upstream run that has the flow; 0 means unknown
-	accepted uint32 // sequence number of the upstream's acceptance
-	balancer IP
-	opening  uint32
+	phase      flowPhase
+	hasRequest bool   // a request is in progress
+	finished   bool   // the caller or the upstream has closed or reset it
+	born       int64  // Announcement.Born of the upstream run that has the flow; 0 means unknown
+	accepted   uint32 // sequence number of the upstream's acceptance
+	balancer   IP
+	opening    uint32
 	// lookupPending is set while a balancer waits for a report that the flow is here.
-	wanted bool
+	lookupPending bool
 	// registered is when the flow was last reported to its homes. 0 means never.
-	registered time.Duration
-	since      time.Duration
-	asked      time.Duration // when the current request began
-	sent       bool          // the caller has sent data, up to sentUpTo
-	upTo       uint32
+	registered   time.Duration
+	since        time.Duration
+	requestStart time.Duration // when the current request began
+	callerSent   bool          // the caller has sent data, up to sentUpTo
+	sentUpTo     uint32
 	// ackNumber is what the caller has acknowledged or is about to acknowledge. A reset
 	// carries it.
-	number uint32
+	ackNumber uint32
 }
 
 type flowPhase uint8
 
 const (
 	// flowUnconfirmed: a packet of an unknown flow was forwarded to the upstream.
-	flowAsked flowPhase = iota
+	flowUnconfirmed flowPhase = iota
 	// flowOffered: the opening was forwarded to the upstream.
 	flowOffered
 	// flowAccepted: the upstream accepted. The caller may have chosen another upstream that
@@ -53,7 +53,7 @@
 }
 
 // handlePacket handles a KindPacket message m, which carries data of an established flow.
-func (a *Agent) packet(from IP, h Message, m []byte, now time.Duration) {
+func (a *Agent) handlePacket(from IP, h Message, m []byte, now time.Duration) {
 	p := m[HeaderLen:]
 	k, ok := a.Format.Parse(p)
 	if !ok {
@@ -63,35 +63,35 @@
 	a.Count.Packets++
 	f, known := a.flows.get(k.Flow)
 	switch {
-	case !known && a.knowsAll(now):
-		a.pass(from, h, m)
+	case !known && a.knowsAllFlows(now):
+		a.returnPacket(from, h, m)
 		return
-	case !known && (a.closed(k.Flow, now) || h.Flags.has(FlagKnownOnly)):
+	case !known && (a.isEvacuated(k.Flow, now) || h.Flags.has(FlagKnownOnly)):
 		// This agent started after its upstream. The upstream may hold the flow, but must
 		// not get packets of unknown flows: its zone is evacuated, or the sender asks for
 		// known flows only. Agents that know the flow may still forward the packet, but no
 		// other agent may give it to an upstream that does not hold the flow.
 		h.Flags |= FlagUnsure | FlagKnownOnly
-		a.pass(from, h, m)
+		a.returnPacket(from, h, m)
 		return
-	case a.closed(k.Flow, now):
+	case a.isEvacuated(k.Flow, now):
 		a.Count.Dropped++
 		return
-	case !known && a.upstream.state == UpstreamUnknown && !a.upstream.answers:
-		a.askAnyway(from, h, m, now)
+	case !known && a.upstream.state == UpstreamUnknown && !a.upstream.hasSent:
+		a.forwardUnconfirmed(from, h, m, now)
 		return
 	case !known:
-		f = &flowState{phase: flowAsked, born: a.upstream.born, since: now}
+		f = &flowState{phase: flowUnconfirmed, born: a.upstream.born, since: now}
 		a.flows.set(k.Flow, f)
 	case !a.isCurrentLife(f.born), a.upstream.state == UpstreamAbsent:
-		a.lost(k, f, now)
+		a.endLostFlow(k, f, now)
 		return
-	case f.phase == flowOffered, f.phase == flowAccepted && k.Number != f.accepted+1:
+	case f.phase == flowOffered, f.phase == flowAccepted && k.AckNumber != f.accepted+1:
 		// The caller chose another upstream that was offered the same opening. This one
 		// has sent only its acceptance, so a caller that chose it acknowledges exactly
 		// accepted+1.
 		a.flows.remove(k.Flow)
-		a.pass(from, h, m)
+		a.returnPacket(from, h, m)
 		return
 	case f.phase == flowAccepted:
 		f.phase, f.since = flowOpen, now
@@ -101,22 +101,22 @@
 	if f.born == 0 {
 		f.born = a.upstream.born // was unknown when the agent first saw the flow
 	}
-	f.number = k.Number
-	if h.Flags.has(FlagLookup) || f.phase == flowAsked {
-		f.wanted, f.balancer = true, from
+	f.ackNumber = k.AckNumber
+	if h.Flags.has(FlagLookup) || f.phase == flowUnconfirmed {
+		f.lookupPending, f.balancer = true, from
 	}
-	if f.wanted && f.phase == flowOpen {
-		a.mine(k.Flow, f)
+	if f.lookupPending && f.phase == flowOpen {
+		a.reportHeld(k.Flow, f)
 	}
-	a.began(k, f, p, now)
-	a.give(p, pending{balancer: from, flags: h.Flags})
+	a.trackCallerPacket(k, f, p, now)
+	a.sendUpstream(p, pending{balancer: from, flags: h.Flags})
 }
 
 // reportHeld reports to the balancer that looked up the flow that it is here.
-func (a *Agent) mine(k Flow, f *flowState) {
-	f.wanted = false
+func (a *Agent) reportHeld(k Flow, f *flowState) {
+	f.lookupPending = false
 	a.Count.Mine++
-	a.hint(f.balancer, Message{Kind: KindMine, Service: a.Service}, k)
+	a.sendFlowMessage(f.balancer, Message{Kind: KindHeld, Service: a.Service}, k)
 }
 
 // forwardUnconfirmed forwards a packet of an unknown flow to an upstream that has not sent
@@ -124,25 +124,25 @@
 // agent may have been restarted beside an upstream that was removed and would never
 // answer. If the upstream is there after all, a bounced packet proves that it does not
 // hold the flow.
-func (a *Agent) askAnyway(from IP, h Message, m []byte, now time.Duration) {
+func (a *Agent) forwardUnconfirmed(from IP, h Message, m []byte, now time.Duration) {
 	p := m[HeaderLen:]
 	k, _ := a.Format.Parse(p)
-	a.flows.set(k.Flow, &flowState{phase: flowAsked, since: now, wanted: true, balancer: from})
+	a.flows.set(k.Flow, &flowState{phase: flowUnconfirmed, since: now, lookupPending: true, balancer: from})
 	unsure := h
 	unsure.Flags |= FlagUnsure
-	a.pass(from, unsure, m)
-	a.give(p, pending{balancer: from, flags: h.Flags})
+	a.returnPacket(from, unsure, m)
+	a.sendUpstream(p, pending{balancer: from, flags: h.Flags})
 }
 
 // isEvacuated reports whether no more packets of the flow may be forwarded to the upstream
 // because its availability zone was evacuated some time ago.
-func (a *Agent) closed(f Flow, now time.Duration) bool {
-	return a.zoneOut && now-a.zoneOutSince > a.cutAfter(f)
+func (a *Agent) isEvacuated(f Flow, now time.Duration) bool {
+	return a.zoneOut && now-a.zoneOutSince > a.evacuationDelay(f)
 }
 
 // evacuationDelay returns how long the flow may continue after its availability zone was
 // evacuated.
-func (a *Agent) cutAfter(f Flow) time.Duration {
+func (a *Agent) evacuationDelay(f Flow) time.Duration {
 	bound := a.Evacuation
 	if bound == 0 {
 		bound = defaultEvacuation
@@ -153,15 +153,15 @@
 
 // knowsAllFlows reports whether the agent knows every flow of its upstream, so that it can
 // deny an unknown flow without forwarding a packet of it.
-func (a *Agent) knowsAll(now time.Duration) bool {
-	return a.upstream.complete || now > maxFlowLifetime ||
-		a.upstream.state == UpstreamUnknown && !a.upstream.answers && !a.upstream.listens && now > announcedWithin
+func (a *Agent) knowsAllFlows(now time.Duration) bool {
+	return a.upstream.allFlowsKnown || now > maxFlowLifetime ||
+		a.upstream.state == UpstreamUnknown && !a.upstream.hasSent && !a.upstream.listens && now > firstAnnouncementTimeout
 }
 
 // firstAnnouncementTimeout is the time after the start of an agent within which a live
 // upstream announces itself; it covers several heartbeats. If nothing accepts a connection
 // at the upstream's address either, there is no upstream.
-const announcedWithin = 2 * time.Second
+const firstAnnouncementTimeout = 2 * time.Second
 
 // trackCallerPacket updates the flow from a packet of the caller, and detects the start of
 // a request.
@@ -169,24 +169,24 @@
 // Only data beyond what was already sent begins a request. A retransmission that arrives
 // after the answer does not: counted as a request it would never end, and an upstream of
 // uploads would be considered busy after some minutes.
-func (a *Agent) began(k Packet, f *flowState, p []byte, now time.Duration) {
+func (a *Agent) trackCallerPacket(k Packet, f *flowState, p []byte, now time.Duration) {
 	if k.Fin || k.Reset {
 		f.finished = true
-		a.ended(f)
+		a.endRequest(f)
 	}
 	end := k.Seq + uint32(k.Length)
 	if k.Length == 0 || f.phase != flowOpen {
 		return
 	}
-	if f.sent && int32(end-f.upTo) <= 0 {
-		a.upstream.mute = a.upstream.mute || now-a.upstream.sign > muteTimeout
+	if f.callerSent && int32(end-f.sentUpTo) <= 0 {
+		a.upstream.callerRepeated = a.upstream.callerRepeated || now-a.upstream.lastPacket > muteTimeout
 		return
 	}
-	f.sent, f.upTo = true, end
-	if f.underWay {
+	f.callerSent, f.sentUpTo = true, end
+	if f.hasRequest {
 		return
 	}
-	f.underWay, f.asked = true, now
+	f.hasRequest, f.requestStart = true, now
 	a.underWay++
 	if a.Log != nil {
 		a.Log.logDecision(decision{event: events.RequestSeen, flow: k.Flow, request: a.Format.RequestID(p), hop: uint8(min(a.underWay, 255)), version: a.version}, now)
@@ -194,9 +194,9 @@
 }
 
 // endRequest marks the flow as having no request in progress.
-func (a *Agent) ended(f *flowState) {
-	if f.underWay {
-		f.underWay = false
+func (a *Agent) endRequest(f *flowState) {
+	if f.hasRequest {
+		f.hasRequest = false
 		a.underWay--
 	}
 }
@@ -210,8 +210,8 @@
 			continue
 		}
 		a.openFlows++
-		f.underWay = f.underWay && now-f.asked < maxRequestDuration
-		if f.underWay {
+		f.hasRequest = f.hasRequest && now-f.requestStart < maxRequestDuration
+		if f.hasRequest {
 			a.underWay++
 		}
 	}
@@ -219,13 +219,13 @@
 
 // returnPacket reports to the balancer that the flow of a packet is not here. It returns
 // the packet, unless the balancer has kept a copy for a lookup.
-func (a *Agent) pass(to IP, h Message, m []byte) {
+func (a *Agent) returnPacket(to IP, h Message, m []byte) {
 	a.Count.NotMine++
-	r := Message{Kind: KindNotMine, Flags: h.Flags, Service: a.Service}
+	r := Message{Kind: KindReturned, Flags: h.Flags, Service: a.Service}
 	if h.Flags.has(FlagLookup) {
 		k, _ := a.Format.Parse(m[HeaderLen:])
-		r.Kind = KindDenied
-		a.hint(to, r, k.Flow)
+		r.Kind = KindNotHeld
+		a.sendFlowMessage(to, r, k.Flow)
 		return
 	}
 	r.Put(m, a.Keys[0])
@@ -237,19 +237,19 @@
 // Without the reset the caller would wait until its deadline for an answer that can't
 // come. No other agent may reset the flow: only this one knows that it was open at its own
 // upstream, which has restarted without it.
-func (a *Agent) lost(k Packet, f *flowState, now time.Duration) {
+func (a *Agent) endLostFlow(k Packet, f *flowState, now time.Duration) {
 	a.flows.remove(k.Flow)
 	if f.phase != flowOpen || f.finished || k.Reset {
 		a.Count.Dropped++
 		return
 	}
-	a.cut(k.Flow, f, k.Number, now)
+	a.resetFlow(k.Flow, f, k.AckNumber, now)
 }
 
 // resetFlow resets the flow for its caller.
-func (a *Agent) cut(k Flow, f *flowState, number uint32, now time.Duration) {
+func (a *Agent) resetFlow(k Flow, f *flowState, number uint32, now time.Duration) {
 	a.Count.Resets++
-	a.Log.logDecision(decision{event: events.FlowCut, flow: k, reason: ReasonGone, version: a.version, age: now - f.since}, now)
+	a.Log.logDecision(decision{event: events.FlowCut, flow: k, reason: ReasonUpstreamGone, version: a.version, age: now - f.since}, now)
 	n := a.Format.PutReset(a.scratch[:], k, number)
 	a.Out.ToCaller(k.Caller.IP, a.scratch[:n])
 }
@@ -263,18 +263,18 @@
 		return
 	}
 	u := &a.upstream
-	u.gave, u.answers, u.sign, u.mute = 0, true, now, false
+	u.unansweredSince, u.hasSent, u.lastPacket, u.callerRepeated = 0, true, now, false
 	if k.Bounced {
-		a.bounced(k, m, now)
+		a.handleBounced(k, m, now)
 		return
 	}
 	a.Count.Answers++
 	f, known := a.flows.get(k.Flow)
 	switch {
 	case !known && !k.Reset:
-		a.learn(k, now)
+		a.adoptFlow(k, now)
 	case known:
-		a.answered(k, f, now)
+		a.trackUpstreamPacket(k, f, now)
 	}
 	a.Out.ToCaller(k.Flow.Caller.IP, p)
 }
@@ -284,8 +284,8 @@
 // An upstream repeats its acceptance until the caller has answered, so the flow of an
 // acceptance is not taken as open. Otherwise a flow whose caller chose another upstream
 // would be reset when this upstream bounces its packets.
-func (a *Agent) learn(k Packet, now time.Duration) {
-	f := &flowState{phase: flowOpen, born: a.upstream.born, since: now, number: k.Seq + uint32(k.Length)}
+func (a *Agent) adoptFlow(k Packet, now time.Duration) {
+	f := &flowState{phase: flowOpen, born: a.upstream.born, since: now, ackNumber: k.Seq + uint32(k.Length)}
 	if k.Open {
 		f.phase, f.accepted = flowAccepted, k.Seq
 	} else {
@@ -296,12 +296,12 @@
 }
 
 // trackUpstreamPacket updates the flow from a packet of the upstream.
-func (a *Agent) answered(k Packet, f *flowState, now time.Duration) {
-	f.number = k.Seq + uint32(k.Length)
+func (a *Agent) trackUpstreamPacket(k Packet, f *flowState, now time.Duration) {
+	f.ackNumber = k.Seq + uint32(k.Length)
 	switch {
 	case k.Reset:
 		f.finished = true
-		a.ended(f)
+		a.endRequest(f)
 		return
 	case k.Open:
 		if f.phase <= flowOffered {
@@ -312,47 +312,47 @@
 			a.Log.logDecision(decision{event: events.FlowEstablished, flow: k.Flow, agent: f.balancer, version: a.version, age: now - f.since}, now)
 		}
 		if f.opening != 0 {
-			a.hint(f.balancer, Message{Kind: KindOpened, Opening: f.opening, Service: a.Service, Load: a.load(now)}, k.Flow)
+			a.sendFlowMessage(f.balancer, Message{Kind: KindOpened, Opening: f.opening, Service: a.Service, Load: a.load(now)}, k.Flow)
 		}
 		return
-	case f.phase == flowAsked:
+	case f.phase == flowUnconfirmed:
 		f.phase, f.since = flowOpen, now
 		a.openFlows++
 		a.register(k.Flow, f, now)
 	}
-	if k.Length > 0 && f.underWay {
-		a.ended(f)
-		a.Observe.record(ObserveRequest, now-f.asked)
+	if k.Length > 0 && f.hasRequest {
+		a.endRequest(f)
+		a.Observe.record(ObserveRequest, now-f.requestStart)
 	}
-	if f.wanted {
-		a.mine(k.Flow, f)
+	if f.lookupPending {
+		a.reportHeld(k.Flow, f)
 	}
 	if k.Fin {
 		f.finished = true
 	}
 }
 
-func (a *Agent) close(f Flow, s *flowState) {
+func (a *Agent) removeFlow(f Flow, s *flowState) {
 	a.flows.remove(f)
-	a.forgotten(s)
+	a.uncountFlow(s)
 }
 
 // uncountFlow removes a flow from the counts.
-func (a *Agent) forgotten(s *flowState) {
+func (a *Agent) uncountFlow(s *flowState) {
 	if !a.isCurrentLife(s.born) {
 		return // the counts are those of another run of the upstream
 	}
 	if s.phase == flowOpen {
 		a.openFlows--
 	}
-	if s.underWay {
+	if s.hasRequest {
 		a.underWay--
 	}
 }
 
 // handleBounced handles a packet that the upstream returned: it resets a flow that was open
 // there, and otherwise informs the balancer that sent the packet.
-func (a *Agent) bounced(k Packet, m []byte, now time.Duration) {
+func (a *Agent) handleBounced(k Packet, m []byte, now time.Duration) {
 	a.Count.Bounced++
 	x := a.pending[k.Scratch%maxPending]
 	if k.Scratch == 0 || x.scratch != k.Scratch {
@@ -362,12 +362,12 @@
 	f, known := a.flows.get(k.Flow)
 	if known && f.phase == flowOpen && !f.finished {
 		// The upstream lost a flow that was open there, so it has restarted.
-		a.forgotten(f)
-		a.lost(k, f, now)
+		a.uncountFlow(f)
+		a.endLostFlow(k, f, now)
 		return
 	}
 	if known {
-		a.close(k.Flow, f)
+		a.removeFlow(k.Flow, f)
 	}
 	if k.Open {
 		a.decline(x.balancer, Message{Opening: x.opening}, k.Flow, ReasonFull, now)
@@ -375,5 +375,5 @@
 	}
 	a.Format.ClearBounced(m[HeaderLen:])
 	a.Format.SetScratch(m[HeaderLen:], 0)
-	a.pass(x.balancer, Message{Flags: x.flags}, m)
+	a.returnPacket(x.balancer, Message{Flags: x.flags}, m)
 }
--- a/datagram/flows_test.go
+++ b/datagram/flows_test.go
@@ -8,7 +8,7 @@
 
 // Guards against lookups that end at an agent of an evacuated zone: it drops packets of its
 // own flows, but must answer lookups of flows that it does not hold.
-func TestLookupPassesAZoneThatIsOut(t *testing.T) {
+func TestLookupAtEvacuatedZone(t *testing.T) {
 	const now = 20 * time.Second
 	for name, x := range map[string]struct {
 		first   int64 // sequence of the first announcement received; 1 means the agent knows all flows
@@ -37,7 +37,7 @@
 			if s.upstream != 0 {
 				t.Error("packet forwarded to the upstream of an evacuated zone")
 			}
-			if x.dropped != (len(s.process) == 0) || !x.dropped && (s.process[0].Kind != KindDenied || s.process[0].Flags&^FlagLookup != x.flags) {
+			if x.dropped != (len(s.process) == 0) || !x.dropped && (s.process[0].Kind != KindNotHeld || s.process[0].Flags&^FlagLookup != x.flags) {
 				t.Errorf("unexpected answers %+v", s.process)
 			}
 		})
@@ -47,7 +47,7 @@
 // Guards against two faults of a lookup that passed an agent in an evacuated zone which
 // can't tell whether its upstream holds the flow: forwarding the packet to upstreams that
 // do not hold the flow, and resetting the flow without proof that it is gone.
-func TestLookupPastAnAgentThatMayNotAsk(t *testing.T) {
+func TestKnownOnlyLookup(t *testing.T) {
 	const now = 20 * time.Second
 	for name, x := range map[string]struct {
 		first    int64
@@ -96,8 +96,8 @@
 		"ready, silent for long, never verified": {AgentStatus{State: UpstreamReady}, 2 * failureDetectionTime, 0, true},
 		"draining":                               {AgentStatus{State: UpstreamDraining}, 2 * time.Second, maxUnanswered - 1, true},
 		"deregistered":                           {AgentStatus{State: UpstreamGone}, 2 * time.Second, 0, false},
-		"never announced":                        {AgentStatus{State: UpstreamUnknown, KnowsAll: true, Uptime: MillisOf(announcedWithin + time.Second)}, 2 * time.Second, 0, false},
-		"never announced, listens":               {AgentStatus{State: UpstreamUnknown, Uptime: MillisOf(announcedWithin + time.Second)}, 2 * time.Second, 0, true},
+		"never announced":                        {AgentStatus{State: UpstreamUnknown, KnowsAll: true, Uptime: MillisOf(firstAnnouncementTimeout + time.Second)}, 2 * time.Second, 0, false},
+		"never announced, listens":               {AgentStatus{State: UpstreamUnknown, Uptime: MillisOf(firstAnnouncementTimeout + time.Second)}, 2 * time.Second, 0, true},
 		"not announced, agent just restarted":    {AgentStatus{State: UpstreamUnknown, Uptime: MillisOf(time.Second)}, 2 * time.Second, maxUnanswered - 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -114,7 +114,7 @@
 
 func (numbered) Parse(b []byte) (Packet, bool) {
 	p, ok := plainFormat{}.Parse(b)
-	p.Number = binary.BigEndian.Uint32(b[len(b)-4:])
+	p.AckNumber = binary.BigEndian.Uint32(b[len(b)-4:])
 	return p, ok
 }
 
@@ -158,7 +158,7 @@
 			if given := s.upstream == 1; given != x.chosen {
 				t.Errorf("packet forwarded to the upstream: %t", given)
 			}
-			if !x.chosen && (len(s.process) != 1 || s.process[0].Kind != KindNotMine) {
+			if !x.chosen && (len(s.process) != 1 || s.process[0].Kind != KindReturned) {
 				t.Errorf("sent %+v, want the packet returned to the balancer", s.process)
 			}
 		})
--- a/datagram/gate.go
+++ b/datagram/gate.go
@@ -14,41 +14,41 @@
 // would save the round trip but needs a list of members in each agent.
 
 // refusalReason returns why the upstream must not get the opening now, or ReasonNone.
-func (a *Agent) refusal(h Message, now time.Duration) Reason {
+func (a *Agent) refusalReason(h Message, now time.Duration) Reason {
 	u := &a.upstream
 	switch {
 	case h.Service != a.Service:
-		return ReasonService
+		return ReasonWrongService
 	case a.zoneOut:
 		return ReasonZoneOut
 	case a.leaving, u.state == UpstreamDraining:
 		return ReasonDraining
 	case u.state == UpstreamGone, u.state == UpstreamAbsent:
-		return ReasonGone
-	case u.state == UpstreamUnknown && !a.mayTry():
-		return ReasonUnknown
-	case a.busy(h, now):
+		return ReasonUpstreamGone
+	case u.state == UpstreamUnknown && !a.mayTryUnannounced():
+		return ReasonUpstreamUnknown
+	case a.isBusy(h, now):
 		return ReasonBusy
-	case (now < u.coldTill || u.state == UpstreamUnknown) && h.Cold > 0 && !u.bucket.take(h.Cold.perSecond(), now):
+	case (now < u.coldUntil || u.state == UpstreamUnknown) && h.Cold > 0 && !u.bucket.take(h.Cold.perSecond(), now):
 		return ReasonCold
 	}
 	return ReasonNone
 }
 
 // recordedState is what earlier runs of the agent have recorded about the upstream.
-type recall uint8
+type recordedState uint8
 
 const (
-	recallNothing recall = iota // the record has not been read yet
-	recallServing
-	recallDraining
+	recordUnread recordedState = iota // the record has not been read yet
+	recordServing
+	recordDraining
 )
 
 // SetRecordedDraining sets whether an earlier run recorded that the upstream drains.
-func (a *Agent) Recall(draining bool) {
-	a.recalled = recallServing
+func (a *Agent) SetRecordedDraining(draining bool) {
+	a.recalled = recordServing
 	if draining {
-		a.recalled = recallDraining
+		a.recalled = recordDraining
 	}
 }
 
@@ -60,28 +60,30 @@
 // their upstreams, and the few upstreams that have announced themselves can't serve all
 // callers. Balancers still prefer upstreams that have announced themselves. The others are
 // treated as cold.
-func (a *Agent) mayTry() bool {
-	return a.upstream.listens && a.revision > 0 && a.recalled == recallServing
+func (a *Agent) mayTryUnannounced() bool {
+	return a.upstream.listens && a.revision > 0 && a.recalled == recordServing
 }
 
 // assumedSlots is used for an upstream that has not announced its slots. If it has fewer,
 // some requests wait.
-const unknownSlots = 4
+const assumedSlots = 4
 
 // slotCount returns how many requests the upstream processes in parallel.
-func (u *upstream) size() int {
+func (u *upstream) slotCount() int {
 	if u.state == UpstreamUnknown {
-		return unknownSlots
+		return assumedSlots
 	}
 	return max(u.slots, 1)
 }
 
 // requests returns the number of requests that the upstream has or will have shortly.
-func (a *Agent) work(now time.Duration) int { return a.underWay + a.expectedRequests.count(now) }
+func (a *Agent) requestCount(now time.Duration) int {
+	return a.underWay + a.expectedRequests.count(now)
+}
 
 // load returns the number of flows and requests that there are or will be shortly.
 func (a *Agent) load(now time.Duration) uint16 {
-	return uint16(min(a.openFlows+a.work(now), math.MaxUint16))
+	return uint16(min(a.openFlows+a.requestCount(now), math.MaxUint16))
 }
 
 // isBusy reports whether the opening should go to another agent. An opening that all agents
@@ -91,45 +93,45 @@
 // Only the agent knows its load in time. When all callers open flows at once, the upstreams
 // that announce themselves first would otherwise get several times their share before the
 // next status.
-func (a *Agent) busy(h Message, now time.Duration) bool {
+func (a *Agent) isBusy(h Message, now time.Duration) bool {
 	limit := h.Priority.limit()
 	if h.Priority == PriorityFirst && a.BusyAt != 0 {
 		limit = a.BusyAt
 	}
-	return limit > 0 && float64(a.work(now)) >= limit*float64(a.upstream.size())
+	return limit > 0 && float64(a.requestCount(now)) >= limit*float64(a.upstream.slotCount())
 }
 
 // expectedRequests counts openings that were forwarded to the upstream and whose requests
 // have not begun. Some never begin because the caller chose another upstream, so the count
 // decays exponentially.
-type coming struct {
+type expectedRequests struct {
 	n  float64
 	at time.Duration
 }
 
 // expectedHalfLife is a few round trips between caller and upstream.
-const comingHalf = 20 * time.Millisecond
+const expectedHalfLife = 20 * time.Millisecond
 
-func (c *coming) add(n float64, now time.Duration) {
-	c.n = max(0, c.n*math.Exp2(-float64(now-c.at)/float64(comingHalf))+n)
+func (c *expectedRequests) add(n float64, now time.Duration) {
+	c.n = max(0, c.n*math.Exp2(-float64(now-c.at)/float64(expectedHalfLife))+n)
 	c.at = now
 }
 
-func (c *coming) count(now time.Duration) int {
+func (c *expectedRequests) count(now time.Duration) int {
 	c.add(0, now)
 	return int(c.n)
 }
 
 // handleOpening forwards an opening to the upstream, or refuses it.
-func (a *Agent) offer(from IP, h Message, p []byte, now time.Duration) {
+func (a *Agent) handleOpening(from IP, h Message, p []byte, now time.Duration) {
 	k, ok := a.Format.Parse(p)
 	if !ok || !k.Open {
 		a.Count.BadPackets++
 		return
 	}
 	f, _ := a.flows.get(k.Flow)
-	if f == nil || f.phase == flowAsked {
-		if r := a.refusal(h, now); r != ReasonNone {
+	if f == nil || f.phase == flowUnconfirmed {
+		if r := a.refusalReason(h, now); r != ReasonNone {
 			a.decline(from, h, k.Flow, r, now)
 			return
 		}
@@ -140,17 +142,17 @@
 		a.Log.logDecision(decision{event: events.OpeningTaken, flow: k.Flow, agent: from, version: a.version, hop: uint8(min(a.underWay, 255))}, now)
 	}
 	f.balancer, f.opening = from, h.Opening
-	if a.upstream.silent(now) {
-		a.decline(from, h, k.Flow, ReasonSilent, now)
+	if a.upstream.isSilent(now) {
+		a.decline(from, h, k.Flow, ReasonNoAnswer, now)
 	}
-	if a.upstream.gave == 0 {
-		a.upstream.gave = now
+	if a.upstream.unansweredSince == 0 {
+		a.upstream.unansweredSince = now
 	}
-	a.give(p, pending{balancer: from, opening: h.Opening})
+	a.sendUpstream(p, pending{balancer: from, opening: h.Opening})
 }
 
 // sendUpstream forwards a packet to the upstream, and remembers it in case it is bounced.
-func (a *Agent) give(p []byte, x pending) {
+func (a *Agent) sendUpstream(p []byte, x pending) {
 	if a.lastScratch++; a.lastScratch == 0 {
 		a.lastScratch++
 	}
@@ -163,11 +165,11 @@
 func (a *Agent) decline(to IP, h Message, f Flow, r Reason, now time.Duration) {
 	a.Count.Declined++
 	a.Log.logDecision(decision{event: events.OpeningDeclined, flow: f, agent: to, reason: r, version: a.version}, now)
-	a.hint(to, Message{Kind: KindRefused, Reason: r, Requests: uint8(min(a.work(now), math.MaxUint8)), Opening: h.Opening, Service: a.Service, Load: a.load(now)}, f)
+	a.sendFlowMessage(to, Message{Kind: KindRefused, Reason: r, Requests: uint8(min(a.requestCount(now), math.MaxUint8)), Opening: h.Opening, Service: a.Service, Load: a.load(now)}, f)
 }
 
 // sendFlowMessage sends a message about a flow to a balancer.
-func (a *Agent) hint(to IP, h Message, f Flow) {
+func (a *Agent) sendFlowMessage(to IP, h Message, f Flow) {
 	m := a.scratch[:HeaderLen+flowLen]
 	f.put(m[HeaderLen:])
 	h.Put(m, a.Keys[0])
--- a/datagram/gate_test.go
+++ b/datagram/gate_test.go
@@ -6,7 +6,7 @@
 )
 
 // Guards against openings that an upstream must not get, whatever view balancers have of it.
-func TestAgentIsTheGateForOpenings(t *testing.T) {
+func TestAgentAdmitsOpenings(t *testing.T) {
 	const now = 10 * time.Second
 	ready := Announcement{Service: 7, Born: 5, Sequence: 1, Slots: 5}
 	draining := ready
@@ -19,34 +19,34 @@
 		want    Reason
 	}{
 		"ready":           {func(a *Agent) { a.HandleAnnouncement(&ready, now) }, Message{Service: 7}, ReasonNone},
-		"another service": {func(a *Agent) { a.HandleAnnouncement(&ready, now) }, Message{Service: 8}, ReasonService},
-		"not announced":   {func(*Agent) {}, Message{Service: 7}, ReasonUnknown},
-		"not announced, listens, evacuated zones unknown": {func(a *Agent) { a.Recall(false); a.HandleProbeResult(ProbeAccepted, now) }, Message{Service: 7}, ReasonUnknown},
+		"another service": {func(a *Agent) { a.HandleAnnouncement(&ready, now) }, Message{Service: 8}, ReasonWrongService},
+		"not announced":   {func(*Agent) {}, Message{Service: 7}, ReasonUpstreamUnknown},
+		"not announced, listens, evacuated zones unknown": {func(a *Agent) { a.SetRecordedDraining(false); a.HandleProbeResult(ProbeAccepted, now) }, Message{Service: 7}, ReasonUpstreamUnknown},
 		"not announced, listens, record not read": {func(a *Agent) {
 			a.HandleProbeResult(ProbeAccepted, now)
 			a.setZonesOut(nil, 9, now)
-		}, Message{Service: 7}, ReasonUnknown},
+		}, Message{Service: 7}, ReasonUpstreamUnknown},
 		"not announced, listens, recorded as draining": {func(a *Agent) {
-			a.Recall(true)
+			a.SetRecordedDraining(true)
 			a.HandleProbeResult(ProbeAccepted, now)
 			a.setZonesOut(nil, 9, now)
-		}, Message{Service: 7}, ReasonUnknown},
+		}, Message{Service: 7}, ReasonUpstreamUnknown},
 		"recorded as draining, another run": {func(a *Agent) {
-			a.Recall(true)
+			a.SetRecordedDraining(true)
 			a.HandleAnnouncement(&ready, now)
 		}, Message{Service: 7}, ReasonNone},
 		"not announced, listens": {func(a *Agent) {
-			a.Recall(false)
+			a.SetRecordedDraining(false)
 			a.HandleProbeResult(ProbeAccepted, now)
 			a.setZonesOut(nil, 9, now)
 		}, Message{Service: 7}, ReasonNone},
 		"not announced, listens, zone evacuated": {func(a *Agent) {
-			a.Recall(false)
+			a.SetRecordedDraining(false)
 			a.HandleProbeResult(ProbeAccepted, now)
 			a.setZonesOut([]ZoneKey{3}, 9, now)
 		}, Message{Service: 7}, ReasonZoneOut},
 		"not announced, listens, cold limit reached": {func(a *Agent) {
-			a.Recall(false)
+			a.SetRecordedDraining(false)
 			a.HandleProbeResult(ProbeAccepted, now)
 			a.setZonesOut(nil, 9, now)
 			a.upstream.bucket.take(0.5, now)
@@ -55,14 +55,14 @@
 			a.HandleAnnouncement(&ready, now-time.Second)
 			a.lastProbe = now - time.Millisecond
 			a.HandleProbeResult(ProbeRefused, now)
-		}, Message{Service: 7}, ReasonGone},
+		}, Message{Service: 7}, ReasonUpstreamGone},
 		"announced during the probe": {func(a *Agent) {
 			a.lastProbe = now - time.Second
 			a.HandleAnnouncement(&ready, now)
 			a.HandleProbeResult(ProbeRefused, now)
 		}, Message{Service: 7}, ReasonNone},
 		"draining":       {func(a *Agent) { a.HandleAnnouncement(&draining, now) }, Message{Service: 7}, ReasonDraining},
-		"deregistered":   {func(a *Agent) { a.HandleAnnouncement(&ready, now); a.Deregister("", now) }, Message{Service: 7}, ReasonGone},
+		"deregistered":   {func(a *Agent) { a.HandleAnnouncement(&ready, now); a.Deregister("", now) }, Message{Service: 7}, ReasonUpstreamGone},
 		"zone evacuated": {func(a *Agent) { a.HandleAnnouncement(&ready, now); a.setZonesOut([]ZoneKey{3}, 9, now) }, Message{Service: 7}, ReasonZoneOut},
 		"zone evacuated in an older revision": {func(a *Agent) {
 			a.HandleAnnouncement(&ready, now)
@@ -110,7 +110,7 @@
 
 // Guards against the flows of an evacuated zone ending all at once, or after the evacuation
 // bound.
-func TestFlowsOfAZoneThatIsOutEndOneByOne(t *testing.T) {
+func TestEvacuationEndsFlowsGradually(t *testing.T) {
 	for name, bound := range map[string]time.Duration{"default": 0, "short": 2 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			a := &Agent{Zone: 3, Evacuation: bound, Format: plainFormat{}, Out: newRecorder(t)}
@@ -122,13 +122,13 @@
 			ends := map[time.Duration]int{}
 			for port := range uint16(1000) {
 				f := Flow{Caller: Endpoint{1, port}, Address: Endpoint{2, 443}}
-				if a.closed(f, time.Second+bound/2) {
+				if a.isEvacuated(f, time.Second+bound/2) {
 					t.Fatal("a flow ended in the first half of the evacuation")
 				}
-				if !a.closed(f, time.Second+bound) {
+				if !a.isEvacuated(f, time.Second+bound) {
 					t.Fatal("a flow continues after the evacuation bound")
 				}
-				ends[a.cutAfter(f)*10/bound]++
+				ends[a.evacuationDelay(f)*10/bound]++
 			}
 			for tenth := range time.Duration(3) {
 				if n := ends[6+tenth]; n < 200 || n > 350 {
@@ -145,13 +145,13 @@
 	a := &Agent{Format: plainFormat{}}
 	a.Start()
 	f := &flowState{phase: flowOpen}
-	piece := func(seq uint32) { a.began(Packet{Seq: seq, Length: 100}, f, nil, time.Second) }
+	piece := func(seq uint32) { a.trackCallerPacket(Packet{Seq: seq, Length: 100}, f, nil, time.Second) }
 	piece(1)
 	piece(101)
 	if a.underWay != 1 {
 		t.Fatalf("%d requests in progress, want 1", a.underWay)
 	}
-	a.answered(Packet{Length: 5}, f, time.Second)
+	a.trackUpstreamPacket(Packet{Length: 5}, f, time.Second)
 	piece(101)
 	if a.underWay != 0 {
 		t.Errorf("%d requests in progress after the answer", a.underWay)
--- a/datagram/homes.go
+++ b/datagram/homes.go
@@ -12,7 +12,7 @@
 // where the flow is asks them. So a lookup costs the same in a fleet of any size.
 
 // homesPerFlow is the number of homes of a flow, so that one of them may fail.
-const homesEach = 2
+const homesPerFlow = 2
 
 // homeSet is a set of balancers from which homes are chosen.
 type homeSet struct {
@@ -40,12 +40,12 @@
 const homesSalt = 0x686f6d6573
 
 // homes are the home balancers of a flow. An element is 0 if there are fewer balancers.
-type homes [homesEach]IP
+type homes [homesPerFlow]IP
 
 // choose returns the homes for the flow.
-func (s *homeSet) of(f Flow) homes {
+func (s *homeSet) choose(f Flow) homes {
 	var h homes
-	var top [homesEach]uint64
+	var top [homesPerFlow]uint64
 	key := f.hash()
 	for _, ip := range s.ips {
 		n := score(key, ip)
@@ -65,25 +65,25 @@
 func (h homes) has(ip IP) bool { return slices.Contains(h[:], ip) }
 
 // hasDigest reports whether the set is not empty and has the digest.
-func (s *homeSet) knows(digest uint64) bool { return len(s.ips) > 0 && s.digest == digest }
+func (s *homeSet) hasDigest(digest uint64) bool { return len(s.ips) > 0 && s.digest == digest }
 
 func (s *homeSet) equal(o *homeSet) bool { return slices.Equal(s.ips, o.ips) }
 
 // minHomeTimeout lets a balancer stay a home while it restarts.
-const homeSilentLeast = 6 * time.Second
+const minHomeTimeout = 6 * time.Second
 
 // homeTimeout returns how long a balancer may be silent before its flows get another home,
 // in a fleet of the given number of balancers.
-func homeSilentAfter(balancers int) time.Duration {
-	return max(homeSilentLeast, 3*farInterval(balancers))
+func homeTimeout(balancers int) time.Duration {
+	return max(minHomeTimeout, 3*farInterval(balancers))
 }
 
 // maxHolders bounds the agents that are recorded for one flow.
-const holdersMost = 3
+const maxHolders = 3
 
 // holders are the agents that reported to hold a flow, the latest first. There can be
 // several, as two upstreams may have accepted the same opening, and callers reuse ports.
-type holders [holdersMost]IP
+type holders [maxHolders]IP
 
 func (h *holders) add(ip IP) {
 	if slices.Contains(h[:], ip) {
@@ -96,7 +96,7 @@
 func (h *holders) list() []IP {
 	n := slices.Index(h[:], 0)
 	if n < 0 {
-		n = holdersMost
+		n = maxHolders
 	}
 	return h[:n]
 }
--- a/datagram/lookup.go
+++ b/datagram/lookup.go
@@ -20,69 +20,69 @@
 const (
 	// maxLookups bounds the lookups in progress, and maxLookupPackets the packets kept for
 	// each. One more lookup replaces the oldest, which its caller restarts by retransmitting.
-	lookupsMost = 512
-	packetsMost = 4
+	maxLookups       = 512
+	maxLookupPackets = 4
 	// homeAnswerTimeout and agentAnswerTimeout cover a round trip between availability zones
 	// and a busy process.
-	homeWithin  = 40 * time.Millisecond
-	agentWithin = 40 * time.Millisecond
+	homeAnswerTimeout  = 40 * time.Millisecond
+	agentAnswerTimeout = 40 * time.Millisecond
 	// minRoundInterval and maxRoundInterval bound the interval between the rounds of a
 	// lookup, which doubles with each round.
-	roundFirst = 100 * time.Millisecond
-	roundMost  = 400 * time.Millisecond
+	minRoundInterval = 100 * time.Millisecond
+	maxRoundInterval = 400 * time.Millisecond
 	// anyAgentRound is the first round that also asks agents that know all flows of their
 	// upstreams. By then such agents have reported their flows to the homes that they can
 	// reach.
-	roundOfAny = 4
+	anyAgentRound = 4
 	// maxAsksPerRound bounds the agents that are asked in one round.
-	askedEach = 8
+	maxAsksPerRound = 8
 	// lookupTimeout is longer than VMs take to return, and longer than it takes until an
 	// agent that does not return is considered gone.
-	lookupFor = failureDetectionTime + 500*time.Millisecond
+	lookupTimeout = failureDetectionTime + 500*time.Millisecond
 	// budgetRetryDelay is the delay before a lookup continues that exceeded the message
 	// budget.
-	lookupShort = 5 * time.Millisecond
+	budgetRetryDelay = 5 * time.Millisecond
 	// defaultLookupRate is the limit of lookup messages per second if the VM's size is not
 	// known.
-	lookupUsual = 2000
+	defaultLookupRate = 2000
 )
 
 // lookup is the search for the agent of one flow.
 type lookup struct {
-	flow    Flow
-	number  uint32 // the caller's last acknowledgement
-	ended   bool   // the caller has reset the flow
-	packets [][]byte
-	since   time.Duration
-	due     time.Duration // when the next step is due
-	pause   time.Duration // interval before the next round
-	round   int
-	homes   homes
-	asking  bool            // the homes were asked in this round and may still answer
-	told    [homesEach]bool // the home has answered
-	sure    [homesEach]bool // its answer is authoritative: it knows the flows of all agents but the uncovered
-	holders []IP            // agents that homes named
-	unsure  []IP            // agents whose flows the homes do not know completely
-	asked   []IP
+	flow          Flow
+	ackNumber     uint32 // the caller's last acknowledgement
+	callerReset   bool   // the caller has reset the flow
+	packets       [][]byte
+	since         time.Duration
+	due           time.Duration // when the next step is due
+	interval      time.Duration // interval before the next round
+	round         int
+	homes         homes
+	awaitingHomes bool               // the homes were asked in this round and may still answer
+	homeAnswered  [homesPerFlow]bool // the home has answered
+	authoritative [homesPerFlow]bool // its answer is authoritative: it knows the flows of all agents but the uncovered
+	holders       []IP               // agents that homes named
+	uncovered     []IP               // agents whose flows the homes do not know completely
+	asked         []IP
 	// answered are the agents that denied the flow or reported that they can't tell.
-	answered []IP
-	denied   []IP
-	left     int  // how many more agents may be asked in this round
-	resting  bool // the round is over
-	agent    IP   // the agent that was asked and has not answered; 0 means none
-	flags    Flags
+	answered     []IP
+	denied       []IP
+	asksLeft     int  // how many more agents may be asked in this round
+	roundOver    bool // the round is over
+	pendingAgent IP   // the agent that was asked and has not answered; 0 means none
+	flags        Flags
 }
 
 // lookups are the lookups in progress. The queue holds the oldest first.
 type lookups struct {
 	byFlow map[Flow]*lookup
 	queue  []*lookup
-	budget bucket
+	budget tokenBucket
 	next   time.Duration
 }
 
 // schedule sets when the lookup's next step is due.
-func (x *lookups) wake(l *lookup, at time.Duration) {
+func (x *lookups) schedule(l *lookup, at time.Duration) {
 	l.due = at
 	x.next = min(x.next, at)
 }
@@ -108,31 +108,31 @@
 // lookUp starts a lookup for the packet in m[HeaderLen:], or adds the packet to the lookup
 // in progress. If an agent has just denied the flow, it is passed as denied and is not asked
 // again.
-func (b *Balancer) look(m []byte, p Packet, denied IP, now time.Duration) {
+func (b *Balancer) lookUp(m []byte, p Packet, denied IP, now time.Duration) {
 	l := b.lookups.byFlow[p.Flow]
 	if l == nil {
 		l = b.newLookup(p.Flow, now)
 	}
-	l.number, l.ended = p.Number, l.ended || p.Reset
+	l.ackNumber, l.callerReset = p.AckNumber, l.callerReset || p.Reset
 	if denied != 0 {
 		l.denied = append(l.denied, denied)
 		l.asked, l.answered = append(l.asked, denied), append(l.answered, denied)
 	}
 	repeated := len(l.packets) > 0 && slices.Equal(l.packets[0][HeaderLen:], m[HeaderLen:])
-	if !repeated && len(l.packets) < packetsMost {
+	if !repeated && len(l.packets) < maxLookupPackets {
 		l.packets = append(l.packets, slices.Clone(m))
 	}
-	if l.round == 0 || repeated && l.resting {
-		b.startRound(l, now)
+	if l.round == 0 || repeated && l.roundOver {
+		b.startLookupRound(l, now)
 	}
 }
 
 func (b *Balancer) newLookup(f Flow, now time.Duration) *lookup {
 	x := &b.lookups
-	if len(x.queue) >= lookupsMost {
+	if len(x.queue) >= maxLookups {
 		b.endLookup(x.queue[0])
 	}
-	l := &lookup{flow: f, since: now, pause: roundFirst}
+	l := &lookup{flow: f, since: now, interval: minRoundInterval}
 	x.byFlow[f] = l
 	x.queue = append(x.queue, l)
 	b.Count.Lookups++
@@ -148,30 +148,30 @@
 }
 
 // startLookupRound asks the homes, and then agents.
-func (b *Balancer) startRound(l *lookup, now time.Duration) {
+func (b *Balancer) startLookupRound(l *lookup, now time.Duration) {
 	l.round++
-	l.left, l.asking, l.resting = askedEach, true, false
+	l.asksLeft, l.awaitingHomes, l.roundOver = maxAsksPerRound, true, false
 	// Holders and agents that did not answer are asked again, as the question may have
 	// been lost.
 	l.asked = slices.DeleteFunc(l.asked, func(ip IP) bool {
 		return !slices.Contains(l.denied, ip) && (slices.Contains(l.holders, ip) || !slices.Contains(l.answered, ip))
 	})
-	l.homes = b.homes.of(l.flow)
-	l.told, l.sure, l.unsure = [homesEach]bool{}, [homesEach]bool{}, nil
-	b.lookups.wake(l, now+homeWithin)
+	l.homes = b.homes.choose(l.flow)
+	l.homeAnswered, l.authoritative, l.uncovered = [homesPerFlow]bool{}, [homesPerFlow]bool{}, nil
+	b.lookups.schedule(l, now+homeAnswerTimeout)
 	for i, ip := range l.homes {
 		switch {
 		case ip == 0:
-			l.told[i], l.sure[i] = true, i > 0
+			l.homeAnswered[i], l.authoritative[i] = true, i > 0
 		case ip == b.Self:
 			c := b.coverage(now)
 			x, _ := b.directory.flows.get(l.flow)
-			l.tell(i, x.list(), c.unsure, c.of(l.flow, b.Self))
+			l.addHomeAnswer(i, x.list(), c.uncovered, c.covers(l.flow, b.Self))
 		default:
 			b.askHome(l, ip)
 		}
 	}
-	b.step(l, now)
+	b.advance(l, now)
 }
 
 // askHome asks one home for the flow.
@@ -180,24 +180,24 @@
 }
 
 // takeBudget reports whether the budget allows another lookup message, and uses it up.
-func (b *Balancer) spend(now time.Duration) bool {
+func (b *Balancer) takeBudget(now time.Duration) bool {
 	return b.lookups.budget.take(b.LookupRate, now)
 }
 
 // addHomeAnswer records the answer of the i-th home.
-func (l *lookup) tell(i int, holders, unsure []IP, sure bool) {
-	l.told[i], l.sure[i] = true, sure && len(holders) < holdersMost
+func (l *lookup) addHomeAnswer(i int, holders, uncovered []IP, authoritative bool) {
+	l.homeAnswered[i], l.authoritative[i] = true, authoritative && len(holders) < maxHolders
 	for _, ip := range holders {
 		if !slices.Contains(l.holders, ip) {
 			l.holders = append(l.holders, ip)
 		}
 	}
-	l.unsure = append(l.unsure, unsure...)
+	l.uncovered = append(l.uncovered, uncovered...)
 }
 
 // handleLocated handles a home's answer.
-func (b *Balancer) hearLocated(from IP, p []byte, now time.Duration) {
-	unsure, ls, ok := decodeLocated(p)
+func (b *Balancer) handleLocated(from IP, p []byte, now time.Duration) {
+	uncovered, ls, ok := decodeLocated(p)
 	if !ok {
 		b.Count.BadMessages++
 		return
@@ -208,41 +208,41 @@
 			continue
 		}
 		if i := slices.Index(l.homes[:], from); i >= 0 {
-			l.tell(i, x.holders, unsure, x.sure)
-			b.step(l, now)
+			l.addHomeAnswer(i, x.holders, uncovered, x.authoritative)
+			b.advance(l, now)
 		}
 	}
 }
 
 // advance takes the next steps that are possible without waiting.
-func (b *Balancer) step(l *lookup, now time.Duration) {
-	if l.agent != 0 {
+func (b *Balancer) advance(l *lookup, now time.Duration) {
+	if l.pendingAgent != 0 {
 		return
 	}
 	if ip := l.nextHolder(); ip != 0 {
 		b.askAgent(l, ip, now)
 		return
 	}
-	if l.asking && slices.Contains(l.told[:], false) && now < l.due {
+	if l.awaitingHomes && slices.Contains(l.homeAnswered[:], false) && now < l.due {
 		return
 	}
-	l.asking = false
+	l.awaitingHomes = false
 	if a := b.nextAgent(l, now); a != nil {
 		b.askAgent(l, a.ip, now)
 		return
 	}
-	if b.gone(l, now) {
-		b.cutIfConnected(l, now)
+	if b.isGone(l, now) {
+		b.resetIfConnected(l, now)
 		return
 	}
-	b.Log.logDecision(decision{event: events.FlowNotFound, flow: l.flow, reason: l.unproved(), hop: uint8(min(len(l.asked), 255)), version: b.ConfigurationVersion(), age: now - l.since}, now)
+	b.Log.logDecision(decision{event: events.FlowNotFound, flow: l.flow, reason: l.notFoundReason(), hop: uint8(min(len(l.asked), 255)), version: b.ConfigurationVersion(), age: now - l.since}, now)
 	b.Count.NotFound++
-	if l.left > 0 { // every candidate was asked, so the next round starts over
+	if l.asksLeft > 0 { // every candidate was asked, so the next round starts over
 		l.asked = slices.Clone(l.denied)
 	}
-	l.resting = true
-	b.lookups.wake(l, now+l.pause)
-	l.pause = min(2*l.pause, roundMost)
+	l.roundOver = true
+	b.lookups.schedule(l, now+l.interval)
+	l.interval = min(2*l.interval, maxRoundInterval)
 }
 
 // nextHolder returns an agent that a home named and that was not asked yet, or 0.
@@ -259,21 +259,21 @@
 // authoritative, only uncovered agents are candidates. Before anyAgentRound, only agents
 // that do not know all flows of their upstreams are.
 func (b *Balancer) nextAgent(l *lookup, now time.Duration) *agentView {
-	sure := !slices.Contains(l.sure[:], false)
+	authoritative := !slices.Contains(l.authoritative[:], false)
 	return b.bestAgent(l, now, func(a *agentView) bool {
-		return (!sure || slices.Contains(l.unsure, a.ip)) && (l.round >= roundOfAny || !a.status.KnowsAll)
+		return (!authoritative || slices.Contains(l.uncovered, a.ip)) && (l.round >= anyAgentRound || !a.status.KnowsAll)
 	})
 }
 
 // agentForCheck returns an agent that would answer at once that it does not hold the flow.
-func (b *Balancer) agentToHear(l *lookup, now time.Duration) *agentView {
+func (b *Balancer) agentForCheck(l *lookup, now time.Duration) *agentView {
 	return b.bestAgent(l, now, func(a *agentView) bool { return a.status.KnowsAll })
 }
 
 // bestAgent returns the eligible agent of the flow's services with the highest rank that
 // was not asked yet. It returns nil if there is none or the round has asked enough agents.
 func (b *Balancer) bestAgent(l *lookup, now time.Duration, eligible func(*agentView) bool) *agentView {
-	if b.config == nil || l.left == 0 {
+	if b.config == nil || l.asksLeft == 0 {
 		return nil
 	}
 	var best ranked
@@ -293,14 +293,14 @@
 
 // askAgent sends the flow's first packet to an agent.
 func (b *Balancer) askAgent(l *lookup, ip IP, now time.Duration) {
-	if !b.spend(now) {
-		b.lookups.wake(l, now+lookupShort)
+	if !b.takeBudget(now) {
+		b.lookups.schedule(l, now+budgetRetryDelay)
 		return
 	}
-	l.left = max(0, l.left-1)
+	l.asksLeft = max(0, l.asksLeft-1)
 	l.asked = append(l.asked, ip)
-	l.agent = ip
-	b.lookups.wake(l, now+agentWithin)
+	l.pendingAgent = ip
+	b.lookups.schedule(l, now+agentAnswerTimeout)
 	h := Message{Kind: KindPacket, Flags: l.flags | FlagLookup}
 	if a := b.agents.byIP[ip]; a != nil {
 		h.Service = a.status.Service
@@ -313,8 +313,8 @@
 }
 
 // handleNotHeld handles an agent's answer that it does not hold a flow or can't tell.
-func (b *Balancer) denied(from IP, h Message, p []byte, now time.Duration) {
-	f, ok := flowFrom(p)
+func (b *Balancer) handleNotHeld(from IP, h Message, p []byte, now time.Duration) {
+	f, ok := decodeFlow(p)
 	if !ok {
 		b.Count.BadMessages++
 		return
@@ -329,14 +329,14 @@
 	} else {
 		l.denied = append(l.denied, from)
 	}
-	if l.agent == from {
-		l.agent = 0
+	if l.pendingAgent == from {
+		l.pendingAgent = 0
 	}
-	b.step(l, now)
+	b.advance(l, now)
 }
 
 // handleHeld handles an agent's report that it holds a flow: it sends the kept packets.
-func (b *Balancer) found(from IP, f Flow, now time.Duration) {
+func (b *Balancer) handleHeld(from IP, f Flow, now time.Duration) {
 	b.flows.set(f, flowLocation{agent: from})
 	l := b.lookups.byFlow[f]
 	if l == nil {
@@ -354,22 +354,22 @@
 }
 
 // notFoundReason returns why the flow may still be open although it was not found.
-func (l *lookup) unproved() Reason {
+func (l *lookup) notFoundReason() Reason {
 	switch {
-	case slices.Contains(l.told[:], false):
+	case slices.Contains(l.homeAnswered[:], false):
 		return ReasonHomeSilent
-	case slices.Contains(l.sure[:], false):
+	case slices.Contains(l.authoritative[:], false):
 		return ReasonHomeUnsure
 	}
 	return ReasonAgentSilent
 }
 
 // isGone reports whether it is proved that no agent holds the flow.
-func (b *Balancer) gone(l *lookup, now time.Duration) bool {
-	if slices.Contains(l.sure[:], false) || l.ended {
+func (b *Balancer) isGone(l *lookup, now time.Duration) bool {
+	if slices.Contains(l.authoritative[:], false) || l.callerReset {
 		return false
 	}
-	for _, ip := range slices.Concat(l.holders, l.unsure) {
+	for _, ip := range slices.Concat(l.holders, l.uncovered) {
 		a := b.agents.byIP[ip]
 		if !slices.Contains(l.denied, ip) && (a == nil || a.mayHoldFlows(now)) {
 			return false
@@ -381,47 +381,47 @@
 // resetIfConnected resets the flow for its caller once a message from any agent has
 // arrived since the lookup began. Otherwise this balancer may have just been cut off
 // together with both homes, which then lack what agents reported since.
-func (b *Balancer) cutIfConnected(l *lookup, now time.Duration) {
+func (b *Balancer) resetIfConnected(l *lookup, now time.Duration) {
 	if b.lastAgentMessage > l.since {
-		b.cutFlow(l, now)
+		b.resetFlow(l, now)
 		return
 	}
-	if now-l.since >= lookupShort {
-		if a := b.agentToHear(l, now); a != nil {
+	if now-l.since >= budgetRetryDelay {
+		if a := b.agentForCheck(l, now); a != nil {
 			b.askAgent(l, a.ip, now)
 			return
 		}
 	}
-	b.lookups.wake(l, now+lookupShort)
+	b.lookups.schedule(l, now+budgetRetryDelay)
 }
 
 // resetFlow resets a flow that is gone for its caller.
-func (b *Balancer) cutFlow(l *lookup, now time.Duration) {
+func (b *Balancer) resetFlow(l *lookup, now time.Duration) {
 	b.endLookup(l)
 	b.flows.remove(l.flow)
 	b.Count.Cut++
 	b.Log.logDecision(decision{event: events.FlowCut, flow: l.flow, reason: ReasonNotFound, hop: uint8(min(len(l.asked), 255)), version: b.ConfigurationVersion(), age: now - l.since}, now)
-	b.reset(l.flow, l.number)
+	b.sendReset(l.flow, l.ackNumber)
 }
 
 // runLookups continues the lookups whose next step is due.
-func (b *Balancer) lookAgain(now time.Duration) {
+func (b *Balancer) runLookups(now time.Duration) {
 	x := &b.lookups
 	if now < x.next {
 		return
 	}
-	x.next = now + roundMost
+	x.next = now + maxRoundInterval
 	for _, l := range slices.Clone(x.queue) {
 		switch {
-		case now-l.since > lookupFor:
+		case now-l.since > lookupTimeout:
 			b.endLookup(l)
 			continue
 		case now < l.due:
-		case l.resting:
-			b.startRound(l, now)
+		case l.roundOver:
+			b.startLookupRound(l, now)
 		default:
-			l.agent = 0 // the agent did not answer in time
-			b.step(l, now)
+			l.pendingAgent = 0 // the agent did not answer in time
+			b.advance(l, now)
 		}
 		x.next = min(x.next, l.due)
 	}
--- a/datagram/lookup_test.go
+++ b/datagram/lookup_test.go
@@ -13,7 +13,7 @@
 }
 
 // askedAgents returns the agents that were sent packets, in order.
-func (s *recorder) asks() []IP {
+func (s *recorder) askedAgents() []IP {
 	var ips []IP
 	for i, m := range s.process {
 		if m.Kind == KindPacket {
@@ -25,7 +25,7 @@
 
 // deny answers for an agent that it does not hold the flow.
 func deny(b *Balancer, ip IP, port uint16, f Flags, now time.Duration) {
-	b.HandleMessage(ip, message(b, Message{Kind: KindDenied, Flags: f}, appendFlow(nil, testFlow(port))), now)
+	b.HandleMessage(ip, message(b, Message{Kind: KindNotHeld, Flags: f}, appendFlow(nil, testFlow(port))), now)
 }
 
 // message encodes a message as another process would send it.
@@ -36,14 +36,14 @@
 }
 
 // resumeLookups lets the balancer receive a message from an agent and continues its lookups.
-func goOn(b *Balancer, now time.Duration) {
+func resumeLookups(b *Balancer, now time.Duration) {
 	b.HandleMessage(3, message(b, Message{Kind: KindRefused}, nil), now+time.Millisecond)
-	b.lookAgain(now + lookupShort)
+	b.runLookups(now + budgetRetryDelay)
 }
 
 // Guards against resetting live flows, and against leaving callers of lost flows without an
 // answer.
-func TestEndOfALookup(t *testing.T) {
+func TestLookupResult(t *testing.T) {
 	for name, x := range map[string]struct {
 		prepare func(b *Balancer, now time.Duration)
 		denies  Flags // flags in the answers of the asked agents
@@ -98,12 +98,12 @@
 			b, s := testBalancer(t, 3, now-200*time.Millisecond)
 			x.prepare(b, now)
 			b.HandleCaller(plainPacket(plainData, 5), now)
-			for i := 0; i < len(s.asks()); i++ {
-				deny(b, s.asks()[i], 5, x.denies, now)
+			for i := 0; i < len(s.askedAgents()); i++ {
+				deny(b, s.askedAgents()[i], 5, x.denies, now)
 			}
-			goOn(b, now)
-			if len(s.asks()) != x.asked || s.caller != x.resets {
-				t.Errorf("%d resets after asking %v", s.caller, s.asks())
+			resumeLookups(b, now)
+			if len(s.askedAgents()) != x.asked || s.caller != x.resets {
+				t.Errorf("%d resets after asking %v", s.caller, s.askedAgents())
 			}
 		})
 	}
@@ -127,74 +127,74 @@
 }
 
 // answerAsHome delivers another balancer's answer to a lookup.
-func tellHome(b *Balancer, from IP, port uint16, now time.Duration, holders ...IP) {
+func answerAsHome(b *Balancer, from IP, port uint16, now time.Duration, holders ...IP) {
 	p := appendFlow([]byte{0}, testFlow(port))
-	b.hearLocated(from, appendIPs(append(p, byte(len(holders))), holders), now)
+	b.handleLocated(from, appendIPs(append(p, byte(len(holders))), holders), now)
 }
 
 // Guards against resetting a flow because its address is now routed to another service. The
 // balancer must ask an agent that a home names whatever service that agent belongs to.
-func TestHomeFindsAFlowOfAFormerService(t *testing.T) {
+func TestLookupFindsFlowOfFormerService(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 3, now-200*time.Millisecond)
 	b.agents.applyStatus(9, AgentStatus{Life: 9, Sequence: 1, Service: 8, State: UpstreamReady, KnowsAll: true, Homes: b.homes.digest}, now)
 	addPeer(b, 101, now)
 	b.HandleCaller(plainPacket(plainData, 5), now)
-	tellHome(b, 101, 5, now, 9)
-	if got := s.asks(); len(got) != 1 || got[0] != 9 || s.caller != 0 {
+	answerAsHome(b, 101, 5, now, 9)
+	if got := s.askedAgents(); len(got) != 1 || got[0] != 9 || s.caller != 0 {
 		t.Fatalf("asked %v, %d resets, want agent 9 and no reset", got, s.caller)
 	}
-	b.found(9, testFlow(5), now)
+	b.handleHeld(9, testFlow(5), now)
 	b.HandleCaller(plainPacket(plainData, 5), now)
-	if got := s.asks(); len(got) != 2 || got[1] != 9 {
+	if got := s.askedAgents(); len(got) != 2 || got[1] != 9 {
 		t.Errorf("asked %v, want the second packet sent to agent 9", got)
 	}
 }
 
 // Guards against a lookup that stops at an agent that does not answer.
-func TestLookupGoesOnPastASilentAgent(t *testing.T) {
+func TestLookupContinuesPastSilentAgent(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 4, now-200*time.Millisecond)
 	for _, a := range b.agents.byIP {
 		a.status.KnowsAll = false
 	}
 	b.HandleCaller(plainPacket(plainData, 5), now)
-	for len(s.asks()) < 4 && now < 11*time.Second {
-		now += agentWithin
+	for len(s.askedAgents()) < 4 && now < 11*time.Second {
+		now += agentAnswerTimeout
 		b.Tick(now)
 	}
-	got := slices.Sorted(slices.Values(s.asks()))
+	got := slices.Sorted(slices.Values(s.askedAgents()))
 	if !slices.Equal(got, []IP{1, 2, 3, 4}) || s.caller != 0 {
-		t.Errorf("asked %v, %d resets, want all four agents and no reset", s.asks(), s.caller)
+		t.Errorf("asked %v, %d resets, want all four agents and no reset", s.askedAgents(), s.caller)
 	}
 }
 
 // Guards against a lookup whose question to the holder was lost, and which asks all other
 // agents before it asks the holder again.
-func TestLookupAsksAgainWhoDidNotAnswer(t *testing.T) {
+func TestLookupRetriesUnansweredAgents(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 20, now-200*time.Millisecond)
 	for _, a := range b.agents.byIP {
 		a.status.KnowsAll = false
 	}
 	b.HandleCaller(plainPacket(plainData, 5), now)
-	first := s.asks()[0]
-	now += agentWithin
-	b.lookAgain(now)
-	for i := 1; i < len(s.asks()); i++ {
-		deny(b, s.asks()[i], 5, FlagUnsure, now)
+	first := s.askedAgents()[0]
+	now += agentAnswerTimeout
+	b.runLookups(now)
+	for i := 1; i < len(s.askedAgents()); i++ {
+		deny(b, s.askedAgents()[i], 5, FlagUnsure, now)
 	}
-	before := len(s.asks())
-	now += roundFirst
-	b.lookAgain(now)
-	if got := s.asks()[before:]; len(got) == 0 || got[0] != first {
+	before := len(s.askedAgents())
+	now += minRoundInterval
+	b.runLookups(now)
+	if got := s.askedAgents()[before:]; len(got) == 0 || got[0] != first {
 		t.Errorf("asked %v in the second round, want %v first", got, first)
 	}
 }
 
 // Guards against forwarding packets to other upstreams before the agents of an evacuated
 // zone were asked. Such an agent may hold the flow, and drops its packets.
-func TestLookupAsksAZoneThatIsOutFirst(t *testing.T) {
+func TestLookupAsksEvacuatedZoneFirst(t *testing.T) {
 	now := 10 * time.Second
 	for port := range uint16(50) {
 		b, s := testBalancer(t, 6, now-200*time.Millisecond)
@@ -206,11 +206,11 @@
 		}
 		b.SetZonesOut([]ZoneKey{3}, 9, now)
 		b.HandleCaller(plainPacket(plainData, port), now)
-		for i := 0; i < len(s.asks()); i++ {
-			deny(b, s.asks()[i], port, 0, now)
+		for i := 0; i < len(s.askedAgents()); i++ {
+			deny(b, s.askedAgents()[i], port, 0, now)
 		}
-		goOn(b, now)
-		if got := s.asks(); len(got) != 6 || got[0] > 2 || got[1] > 2 || got[0] == got[1] || s.caller != 1 {
+		resumeLookups(b, now)
+		if got := s.askedAgents(); len(got) != 6 || got[0] > 2 || got[1] > 2 || got[0] == got[1] || s.caller != 1 {
 			t.Fatalf("asked %v, %d resets, want agents 1 and 2 first, then the others, then a reset", got, s.caller)
 		}
 		for _, m := range s.process {
@@ -223,20 +223,20 @@
 
 // Guards against callers of lost flows that have to retransmit while VMs return one after
 // another. The lookup must be repeated by itself.
-func TestLookupIsMadeAgainWhenAllAreKnown(t *testing.T) {
+func TestLookupRepeatsWhenAgentsReturn(t *testing.T) {
 	for name, x := range map[string]struct {
 		meanwhile func(b *Balancer, now time.Duration)
 		resets    int
 	}{
-		"all agents reachable":  {func(b *Balancer, now time.Duration) { hearAgent(b, 2, now) }, 1},
+		"all agents reachable":  {func(b *Balancer, now time.Duration) { receiveStatus(b, 2, now) }, 1},
 		"one agent unreachable": {func(*Balancer, time.Duration) {}, 0},
 		"the flow was found": {func(b *Balancer, now time.Duration) {
-			hearAgent(b, 2, now)
-			b.found(2, testFlow(5), now)
+			receiveStatus(b, 2, now)
+			b.handleHeld(2, testFlow(5), now)
 		}, 0},
 		"caller has reset the flow": {func(b *Balancer, now time.Duration) {
-			hearAgent(b, 2, now)
-			b.lookups.byFlow[testFlow(5)].ended = true
+			receiveStatus(b, 2, now)
+			b.lookups.byFlow[testFlow(5)].callerReset = true
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -248,9 +248,9 @@
 				t.Fatal("flow reset although one agent is unreachable")
 			}
 			x.meanwhile(b, now)
-			b.Tick(now + roundFirst)
-			for _, ip := range s.asks() {
-				deny(b, ip, 5, 0, now+roundFirst+time.Millisecond)
+			b.Tick(now + minRoundInterval)
+			for _, ip := range s.askedAgents() {
+				deny(b, ip, 5, 0, now+minRoundInterval+time.Millisecond)
 			}
 			if s.caller != x.resets {
 				t.Errorf("%d resets", s.caller)
@@ -260,7 +260,7 @@
 }
 
 // receiveStatus lets the balancer receive a new status of an agent of testBalancer.
-func hearAgent(b *Balancer, ip IP, now time.Duration) {
+func receiveStatus(b *Balancer, ip IP, now time.Duration) {
 	s := b.agents.byIP[ip].status
 	s.Sequence++
 	b.agents.applyStatus(ip, s, now)
@@ -269,7 +269,7 @@
 // Guards against many concurrent lookups that exhaust a small VM's bandwidth, processor or
 // memory.
 func TestLookupsAreBounded(t *testing.T) {
-	const callers = 3 * lookupsMost
+	const callers = 3 * maxLookups
 	now := 10 * time.Second
 	b, s := testBalancer(t, 40, now)
 	b.LookupRate = 300
@@ -279,16 +279,16 @@
 	for port := range uint16(callers) {
 		b.HandleCaller(plainPacket(plainData, 100+port), now)
 	}
-	if n := len(b.lookups.queue); n != lookupsMost || len(b.lookups.byFlow) != n {
+	if n := len(b.lookups.queue); n != maxLookups || len(b.lookups.byFlow) != n {
 		t.Fatalf("%d lookups in the queue, %d by flow", n, len(b.lookups.byFlow))
 	}
-	for end := now + lookupFor + time.Second; now < end; now += lookupShort {
+	for end := now + lookupTimeout + time.Second; now < end; now += budgetRetryDelay {
 		for ip := range b.agents.byIP {
 			b.agents.byIP[ip].lastSeen = now
 		}
 		b.Tick(now)
 	}
-	if n, most := len(s.asks()), int(1.5*b.LookupRate*(lookupFor+time.Second).Seconds()); n > most || n == 0 {
+	if n, most := len(s.askedAgents()), int(1.5*b.LookupRate*(lookupTimeout+time.Second).Seconds()); n > most || n == 0 {
 		t.Errorf("asked agents %d times, want 1 to %d times", n, most)
 	}
 	if len(b.lookups.queue) != 0 {
@@ -297,7 +297,7 @@
 }
 
 // Guards against openings that are delayed by the message budget of lookups.
-func TestOpeningsAreNotHeldUpByLookups(t *testing.T) {
+func TestLookupsDoNotDelayOpenings(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 3, now)
 	b.LookupRate = 1
@@ -330,47 +330,47 @@
 
 // Guards against a home that denies a flow although its agent chooses homes from another set
 // of balancers and has therefore reported the flow to other homes.
-func TestHomeIsUnsureOfFlowsThatOthersWereTold(t *testing.T) {
+func TestHomeIsNotAuthoritativeForOtherHomeSets(t *testing.T) {
 	now := 10 * time.Second
 	b, _ := testBalancer(t, 3, now)
 	others := newHomeSet([]IP{testSelf, 101, 102, 103})
 	b.agents.byIP[2].homes, b.agents.byIP[2].status.Homes = others, others.digest
-	sure := 0
+	authoritative := 0
 	for port := range uint16(200) {
 		s := newRecorder(t)
-		b.Out = &withPayload{recorder: s}
-		b.locate(101, appendFlow(nil, testFlow(port)), now)
-		_, ls, ok := decodeLocated(b.Out.(*withPayload).last)
+		b.Out = &payloadRecorder{recorder: s}
+		b.handleLocate(101, appendFlow(nil, testFlow(port)), now)
+		_, ls, ok := decodeLocated(b.Out.(*payloadRecorder).last)
 		if !ok || len(ls) != 1 || ls[0].flow != testFlow(port) {
 			t.Fatalf("decoded answer %v, want one flow", ls)
 		}
-		h := others.of(testFlow(port))
-		if ls[0].sure != h.has(testSelf) {
-			t.Fatalf("authoritative: %t for a flow with homes %v", ls[0].sure, h)
+		h := others.choose(testFlow(port))
+		if ls[0].authoritative != h.has(testSelf) {
+			t.Fatalf("authoritative: %t for a flow with homes %v", ls[0].authoritative, h)
 		}
-		if ls[0].sure {
-			sure++
+		if ls[0].authoritative {
+			authoritative++
 		}
 	}
-	if sure < 60 || sure > 140 {
-		t.Errorf("authoritative for %d of 200 flows, want about half", sure)
+	if authoritative < 60 || authoritative > 140 {
+		t.Errorf("authoritative for %d of 200 flows, want about half", authoritative)
 	}
 }
 
 // payloadRecorder records the payload of the last message.
-type withPayload struct {
+type payloadRecorder struct {
 	*recorder
 	last []byte
 }
 
-func (w *withPayload) ToProcess(ip IP, m []byte) {
+func (w *payloadRecorder) ToProcess(ip IP, m []byte) {
 	w.last = slices.Clone(m[HeaderLen:])
 	w.recorder.ToProcess(ip, m)
 }
 
 func FuzzLocated(f *testing.F) {
 	p := appendFlow(appendIPs([]byte{1}, []IP{9}), testFlow(1))
-	f.Add(appendIPs(append(p, 2|unsureBit), []IP{1, 2}))
+	f.Add(appendIPs(append(p, 2|notAuthoritativeBit), []IP{1, 2}))
 	f.Add([]byte{0})
 	f.Fuzz(func(t *testing.T, p []byte) {
 		unsure, ls, ok := decodeLocated(p)
--- a/datagram/message.go
+++ b/datagram/message.go
@@ -24,11 +24,11 @@
 	// that the upstream refused it.
 	KindRefused
 	// KindReturned returns a packet of a flow that the agent's upstream does not hold.
-	KindNotMine
+	KindReturned
 	// KindNotHeld answers a lookup: the flow is not at this agent.
-	KindDenied
+	KindNotHeld
 	// KindHeld answers a lookup: the flow is at this agent.
-	KindMine
+	KindHeld
 	// KindAgent and KindBalancer carry the sender's status.
 	KindAgent
 	KindBalancer
@@ -46,9 +46,9 @@
 )
 
 // isFromAgent reports whether agents send messages of this kind.
-func (k Kind) ofAgent() bool {
+func (k Kind) isFromAgent() bool {
 	switch k {
-	case KindOpened, KindRefused, KindNotMine, KindDenied, KindMine, KindAgent, KindEntries:
+	case KindOpened, KindRefused, KindReturned, KindNotHeld, KindHeld, KindAgent, KindEntries:
 		return true
 	}
 	return false
@@ -111,18 +111,18 @@
 
 const (
 	messageMagic = 0xd7
-	atTag        = 20
+	tagOffset    = 20
 	// maxAuthenticatedLen is how many of the first bytes of a caller's packet the tag covers
 	// at most. They bind the header to the flow. The endpoints of the flow authenticate the
 	// rest.
-	coveredLen = 31
+	maxAuthenticatedLen = 31
 )
 
 // authenticatedLen returns how many of the n payload bytes the tag covers.
-func (k Kind) covered(n int) int {
+func (k Kind) authenticatedLen(n int) int {
 	switch k {
-	case KindOpening, KindPacket, KindNotMine:
-		return min(n, coveredLen)
+	case KindOpening, KindPacket, KindReturned:
+		return min(n, maxAuthenticatedLen)
 	}
 	return n
 }
@@ -141,7 +141,7 @@
 	}
 	binary.BigEndian.PutUint32(b[8:], m.Opening)
 	binary.BigEndian.PutUint64(b[12:], uint64(m.Service))
-	binary.BigEndian.PutUint64(b[atTag:], k.Tag(b[:atTag], b[HeaderLen:HeaderLen+m.Kind.covered(len(b)-HeaderLen)]))
+	binary.BigEndian.PutUint64(b[tagOffset:], k.Tag(b[:tagOffset], b[HeaderLen:HeaderLen+m.Kind.authenticatedLen(len(b)-HeaderLen)]))
 }
 
 // Get reads the header of b and returns the payload. It returns false for a malformed or
@@ -152,7 +152,7 @@
 	}
 	m.Kind = Kind(b[1])
 	k, ok := ks.Find(b[2])
-	if !ok || k.Tag(b[:atTag], b[HeaderLen:HeaderLen+m.Kind.covered(len(b)-HeaderLen)]) != binary.BigEndian.Uint64(b[atTag:]) {
+	if !ok || k.Tag(b[:tagOffset], b[HeaderLen:HeaderLen+m.Kind.authenticatedLen(len(b)-HeaderLen)]) != binary.BigEndian.Uint64(b[tagOffset:]) {
 		return nil, false
 	}
 	m.Reason, m.Flags = Reason(b[3]), Flags(b[5])
@@ -173,8 +173,8 @@
 // Reasons. Their names in the log are in reasonNames.
 const (
 	ReasonNone Reason = iota
-	ReasonService
-	ReasonUnknown
+	ReasonWrongService
+	ReasonUpstreamUnknown
 	ReasonDraining
 	ReasonZoneOut
 	ReasonCold
@@ -183,8 +183,8 @@
 	ReasonNoRoute
 	ReasonNoAgent
 	ReasonNotFound
-	ReasonSilent
-	ReasonGone
+	ReasonNoAnswer
+	ReasonUpstreamGone
 	ReasonCutOff
 	ReasonHomeSilent
 	ReasonHomeUnsure
--- a/datagram/message_test.go
+++ b/datagram/message_test.go
@@ -18,7 +18,7 @@
 }
 
 // Guards against accepting forged messages and messages damaged in transit.
-func TestMessagesOfStrangersAreRefused(t *testing.T) {
+func TestMessageRejectsForgery(t *testing.T) {
 	ks := testKeys(t)
 	for name, m := range map[string]Message{
 		"opening": {Kind: KindOpening, Priority: 1, Opening: 9, Service: 11, Cold: 25},
@@ -26,10 +26,10 @@
 		"status":  {Kind: KindAgent},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := make([]byte, HeaderLen+coveredLen)
+			b := make([]byte, HeaderLen+maxAuthenticatedLen)
 			m.Put(b, ks[0])
 			var got Message
-			if p, ok := got.Get(b, ks); !ok || got != m || len(p) != coveredLen {
+			if p, ok := got.Get(b, ks); !ok || got != m || len(p) != maxAuthenticatedLen {
 				t.Fatalf("message decoded as %+v", got)
 			}
 			for i := range len(b) * 8 {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestStatusesComeBack(t *testing.T) {
+func TestStatusRoundTrip(t *testing.T) {
 	a := AgentStatus{Life: 1, Sequence: 2, Uptime: 3, Service: 4, Zone: 5, State: UpstreamDraining, Leaving: true, Slots: 6, Flows: 7, UnderWay: 8, ColdRemaining: 9}
 	var got AgentStatus
 	if b := a.append(nil); !got.decode(b) || got != a || len(b) != agentStatusLen {
--- a/datagram/openings_test.go
+++ b/datagram/openings_test.go
@@ -6,12 +6,12 @@
 )
 
 // Guards against openings that each wait for the timeout of the same dead agent.
-func TestUnansweredOpeningMovesTheAgentBehind(t *testing.T) {
+func TestUnansweredOpeningDemotesAgent(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 4, now-100*time.Millisecond)
 	b.HandleCaller(plainPacket(plainOpening, 1), now)
 	dead := s.to[0]
-	now += answerWithin
+	now += minAnswerTimeout
 	b.Tick(now)
 	if len(s.to) != 2 || s.to[1] == dead {
 		t.Fatalf("opening sent to %v, want a second agent after the timeout", s.to)
@@ -30,7 +30,7 @@
 
 // Guards against openings that wait for the caller's retransmission although slots have
 // become free.
-func TestOpeningWaitsForRoomAtTheBalancer(t *testing.T) {
+func TestOpeningWaitsForCapacity(t *testing.T) {
 	for name, x := range map[string]struct {
 		urgent   bool
 		first    int // attempts before it waits
@@ -45,7 +45,7 @@
 			b.config.Routes[Endpoint{2, 443}] = Route{Shares: []Share{{7, 1}}, Urgent: x.urgent}
 			b.HandleCaller(plainPacket(plainOpening, 1), now)
 			busy := func() {
-				b.refused(s.to[len(s.to)-1], Message{Opening: 1, Reason: ReasonBusy, Load: 20, Requests: 10}, now)
+				b.handleRefused(s.to[len(s.to)-1], Message{Opening: 1, Reason: ReasonBusy, Load: 20, Requests: 10}, now)
 			}
 			for range x.first {
 				busy()
@@ -53,14 +53,14 @@
 			if len(s.to) != x.first || s.caller != 0 {
 				t.Fatalf("opening sent to %v, %d resets", s.to, s.caller)
 			}
-			now += roomAfter
+			now += capacityRetryDelay
 			b.Tick(now)
 			if len(s.to) != x.first+1 || s.process[x.first].Priority != x.priority {
-				t.Fatalf("opening sent to %v, last with priority %d, after waiting %v", s.to, s.process[len(s.to)-1].Priority, roomAfter)
+				t.Fatalf("opening sent to %v, last with priority %d, after waiting %v", s.to, s.process[len(s.to)-1].Priority, capacityRetryDelay)
 			}
 			for range 100 {
 				busy()
-				now += roomAfter
+				now += capacityRetryDelay
 				b.Tick(now)
 			}
 			if n := len(s.to); n < 20 || n > 40 {
@@ -72,7 +72,7 @@
 
 // Guards against waiting openings that together cause more messages than a small balancer
 // can send.
-func TestManyThatWaitAskLittle(t *testing.T) {
+func TestWaitingOpeningsLimitMessages(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 7, now-100*time.Millisecond)
 	for port := range uint16(50) {
@@ -81,7 +81,7 @@
 	asked := 0
 	for end := now + time.Second; now < end; now += time.Millisecond {
 		for ; asked < len(s.to); asked++ {
-			b.refused(s.to[asked], Message{Opening: s.process[asked].Opening, Reason: ReasonBusy, Load: 20, Requests: 10}, now)
+			b.handleRefused(s.to[asked], Message{Opening: s.process[asked].Opening, Reason: ReasonBusy, Load: 20, Requests: 10}, now)
 		}
 		for ip := range b.agents.byIP {
 			b.agents.byIP[ip].lastSeen = now
@@ -98,7 +98,7 @@
 
 // Guards against openings that time out at a dead agent while slots become free at busy
 // ones.
-func TestBusyAgentsGoBeforeDoubtedOnes(t *testing.T) {
+func TestBusyAgentsPrecedeDoubtedOnes(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 4, now-100*time.Millisecond)
 	b.agents.byIP[4].missedOpenings = doubtThreshold
@@ -107,7 +107,7 @@
 		if s.to[i] == 4 {
 			t.Fatalf("opening sent to %v; agent 4 is doubted", s.to)
 		}
-		b.refused(s.to[i], Message{Opening: 1, Reason: ReasonBusy, Load: 20, Requests: 10}, now)
+		b.handleRefused(s.to[i], Message{Opening: 1, Reason: ReasonBusy, Load: 20, Requests: 10}, now)
 	}
 	if len(s.to) != 3 {
 		t.Errorf("opening sent to %v, want the three reachable agents", s.to)
@@ -115,7 +115,7 @@
 	for ip := IP(1); ip <= 3; ip++ {
 		b.agents.byIP[ip].lastSeen = now - 2*time.Second // all agents are silent now
 	}
-	b.Tick(now + roomAfter)
+	b.Tick(now + capacityRetryDelay)
 	if len(s.to) != 4 {
 		t.Errorf("opening sent to %v, want a doubted agent if there is no other", s.to)
 	}
@@ -123,29 +123,29 @@
 
 // Guards against openings that will miss their target latency anyway and delay others that
 // can still meet it.
-func TestLateOpeningsYield(t *testing.T) {
+func TestLateOpeningsHaveLowPriority(t *testing.T) {
 	now := 10 * time.Second
 	for name, x := range map[string]struct {
-		urgent   bool
-		aim      time.Duration
-		waited   time.Duration
-		priority Priority
-		maxLoad  float64 // requests per slot below which an agent accepts it
+		urgent        bool
+		targetLatency time.Duration
+		waited        time.Duration
+		priority      Priority
+		maxLoad       float64 // requests per slot below which an agent accepts it
 	}{
 		"can be in time":               {false, 150 * time.Millisecond, 50 * time.Millisecond, PriorityRepeated, fullAt},
 		"urgent, can be in time":       {true, 150 * time.Millisecond, 50 * time.Millisecond, PriorityUrgent, fullAtUrgent},
 		"will be late":                 {false, 150 * time.Millisecond, 100 * time.Millisecond, PriorityLate, lateAt},
 		"urgent, will be late":         {true, 150 * time.Millisecond, 100 * time.Millisecond, PriorityLateUrgent, lateAtUrgent},
-		"first retransmission":         {false, 150 * time.Millisecond, copyAge(1), PriorityLate, lateAt},
+		"first retransmission":         {false, 150 * time.Millisecond, retransmissionAge(1), PriorityLate, lateAt},
 		"route without target latency": {false, 0, time.Second, PriorityRepeated, fullAt},
-		"route with long target":       {false, 500 * time.Millisecond, copyAge(1), PriorityRepeated, fullAt},
-		"second retransmission":        {false, 500 * time.Millisecond, copyAge(2), PriorityLate, lateAt},
-		"urgent, first retransmission": {true, 200 * time.Millisecond, copyAge(1), PriorityLateUrgent, lateAtUrgent},
+		"route with long target":       {false, 500 * time.Millisecond, retransmissionAge(1), PriorityRepeated, fullAt},
+		"second retransmission":        {false, 500 * time.Millisecond, retransmissionAge(2), PriorityLate, lateAt},
+		"urgent, first retransmission": {true, 200 * time.Millisecond, retransmissionAge(1), PriorityLateUrgent, lateAtUrgent},
 		"urgent, has not waited":       {true, 200 * time.Millisecond, 0, PriorityUrgent, fullAtUrgent},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := opening{urgent: x.urgent, aim: x.aim, started: now - x.waited}
-			if p := o.repeated(now); p != x.priority || p.limit() != x.maxLoad {
+			o := opening{urgent: x.urgent, targetLatency: x.targetLatency, started: now - x.waited}
+			if p := o.retryPriority(now); p != x.priority || p.limit() != x.maxLoad {
 				t.Errorf("priority %d with limit %v", p, p.limit())
 			}
 		})
@@ -153,16 +153,16 @@
 }
 
 // Guards against deadlines that are handled after later ones.
-func TestDeadlinesComeInOrder(t *testing.T) {
+func TestDeadlinesAreOrdered(t *testing.T) {
 	x := newOpenings()
 	var ids []uint32
 	for _, at := range []time.Duration{60, 100, 40, 70, 10} {
 		o := x.add()
-		x.wake(o, at)
+		x.setDeadline(o, at)
 		ids = append(ids, o.id)
 	}
 	for _, want := range []int{4, 2, 0, 3, 1} {
-		if x.due() == 0 || x.queue[0].id != ids[want] {
+		if x.nextDeadline() == 0 || x.queue[0].id != ids[want] {
 			t.Fatalf("queue %v is not in order of time", x.queue)
 		}
 		x.get(ids[want]).deadline = 0
@@ -171,23 +171,23 @@
 
 // Guards against an overloaded balancer that reads answers late and therefore sends each
 // opening to one agent after another.
-func TestAnswersHaveTheTimeThatTheyTake(t *testing.T) {
+func TestAnswerTimeoutAdapts(t *testing.T) {
 	for name, x := range map[string]struct {
 		took        []time.Duration
 		least, most time.Duration
 	}{
-		"no answer yet":   {nil, answerWithin, answerWithin},
-		"fast":            {[]time.Duration{3 * time.Millisecond, 5 * time.Millisecond, 4 * time.Millisecond}, answerWithin, answerWithin},
-		"slow":            {[]time.Duration{80 * time.Millisecond, 90 * time.Millisecond, 80 * time.Millisecond, 100 * time.Millisecond}, 100 * time.Millisecond, answerMost},
-		"very slow":       {[]time.Duration{time.Second, time.Second}, answerMost, answerMost},
-		"fast after slow": {append([]time.Duration{200 * time.Millisecond}, make([]time.Duration, 40)...), answerWithin, answerWithin},
+		"no answer yet":   {nil, minAnswerTimeout, minAnswerTimeout},
+		"fast":            {[]time.Duration{3 * time.Millisecond, 5 * time.Millisecond, 4 * time.Millisecond}, minAnswerTimeout, minAnswerTimeout},
+		"slow":            {[]time.Duration{80 * time.Millisecond, 90 * time.Millisecond, 80 * time.Millisecond, 100 * time.Millisecond}, 100 * time.Millisecond, maxAnswerTimeout},
+		"very slow":       {[]time.Duration{time.Second, time.Second}, maxAnswerTimeout, maxAnswerTimeout},
+		"fast after slow": {append([]time.Duration{200 * time.Millisecond}, make([]time.Duration, 40)...), minAnswerTimeout, minAnswerTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var a answerTimes
 			for _, d := range x.took {
 				a.add(d)
 			}
-			if l := a.limit(); l < x.least || l > x.most {
+			if l := a.timeout(); l < x.least || l > x.most {
 				t.Errorf("timeout is %v", l)
 			}
 		})
--- a/datagram/packet.go
+++ b/datagram/packet.go
@@ -67,7 +67,7 @@
 	binary.BigEndian.PutUint16(b[10:], f.Address.Port)
 }
 
-func flowFrom(b []byte) (Flow, bool) {
+func decodeFlow(b []byte) (Flow, bool) {
 	if len(b) < flowLen {
 		return Flow{}, false
 	}
@@ -100,7 +100,7 @@
 	Seq     uint32
 	// AckNumber is the acknowledged sequence number. In an opening it is the number of
 	// retransmissions before this copy.
-	Number uint32
+	AckNumber uint32
 	// Scratch is for the use of balancers and agents. Upstreams return it unchanged.
 	Scratch uint32
 	// Length is the number of data bytes.
--- a/datagram/peers.go
+++ b/datagram/peers.go
@@ -52,7 +52,7 @@
 
 // updateHomes recomputes the balancers that are homes.
 func (b *Balancer) updateHomes(now time.Duration) {
-	b.homes = newHomeSet(b.balancersSeenWithin(homeSilentAfter(len(b.peers)+1), now))
+	b.homes = newHomeSet(b.balancersSeenWithin(homeTimeout(len(b.peers)+1), now))
 }
 
 // aliveBalancers returns this balancer and those whose statuses arrive.
--- a/datagram/priority.go
+++ b/datagram/priority.go
@@ -54,11 +54,11 @@
 }
 
 // retryPriority returns the priority of an opening that every agent declined.
-func (o *opening) repeated(now time.Duration) Priority {
+func (o *opening) retryPriority(now time.Duration) Priority {
 	switch {
-	case o.late(now) && o.urgent:
+	case o.isLate(now) && o.urgent:
 		return PriorityLateUrgent
-	case o.late(now):
+	case o.isLate(now):
 		return PriorityLate
 	case o.urgent:
 		return PriorityUrgent
@@ -69,6 +69,6 @@
 // isLate reports whether the opening has waited so long that its request can't be answered
 // within its target latency. An upstream with two requests per slot needs twice the time of
 // a request, which is nearly half of the target latency of today's routes.
-func (o *opening) late(now time.Duration) bool {
-	return o.aim > 0 && now-o.started > o.aim/2
+func (o *opening) isLate(now time.Duration) bool {
+	return o.targetLatency > 0 && now-o.started > o.targetLatency/2
 }
--- a/datagram/registrar.go
+++ b/datagram/registrar.go
@@ -71,9 +71,9 @@
 			}
 		}
 	}
-	add(a.homes.of(k))
+	add(a.homes.choose(k))
 	for i := range a.previousHomes {
-		add(a.previousHomes[i].of(k))
+		add(a.previousHomes[i].choose(k))
 	}
 	return ips
 }
@@ -84,9 +84,9 @@
 	if v == nil {
 		return
 	}
-	for part := range slices.Chunk(ks, entriesMost) {
+	for part := range slices.Chunk(ks, maxEntries) {
 		m := a.scratch[:HeaderLen]
-		m, _ = binary.Append(m, binary.BigEndian, &entriesHead{a.Life, v.epoch, v.entries}) // a fixed-size struct can't fail
+		m, _ = binary.Append(m, binary.BigEndian, &entriesHeader{a.Life, v.epoch, v.entries}) // a fixed-size struct can't fail
 		for _, k := range part {
 			m = appendFlow(m, k)
 		}
@@ -119,7 +119,7 @@
 func (a *Agent) updateHomes(now time.Duration) {
 	a.homesUpdateAt = 0
 	var ips []IP
-	after := homeSilentAfter(len(a.balancers))
+	after := homeTimeout(len(a.balancers))
 	for ip, v := range a.balancers {
 		if v.life != 0 && now-v.lastSeen < after {
 			ips = append(ips, ip)
@@ -136,8 +136,8 @@
 		if !a.needsRegistration(f) {
 			continue
 		}
-		before := old.of(k)
-		for _, ip := range a.homes.of(k) {
+		before := old.choose(k)
+		for _, ip := range a.homes.choose(k) {
 			if ip != 0 && !before.has(ip) {
 				moved[ip] = append(moved[ip], k)
 			}
--- a/datagram/silence_test.go
+++ b/datagram/silence_test.go
@@ -177,7 +177,7 @@
 	}
 	speakAll()
 	speak(4, 3*time.Second)
-	if !b.coverage(now).ok {
+	if !b.coverage(now).complete {
 		t.Fatal("the directory is incomplete before the interruption")
 	}
 	for range 10 { // all messages are lost
@@ -188,12 +188,12 @@
 	speakAll()
 	now += StatusInterval
 	b.Tick(now)
-	if b.coverage(now).ok || !slices.Equal(s.verified, []IP{4}) {
-		t.Errorf("directory complete: %t, want false; verified agents %v, want only 4, which sends seldom", b.coverage(now).ok, s.verified)
+	if b.coverage(now).complete || !slices.Equal(s.verified, []IP{4}) {
+		t.Errorf("directory complete: %t, want false; verified agents %v, want only 4, which sends seldom", b.coverage(now).complete, s.verified)
 	}
 	speak(4, 3*time.Second)
-	now += coverageFor
-	if !b.coverage(now).ok {
+	now += coverageInterval
+	if !b.coverage(now).complete {
 		t.Error("the directory is incomplete after all agents sent a status")
 	}
 }
@@ -213,14 +213,14 @@
 			b, s := testBalancer(t, 3, start)
 			b.HandleCaller(plainPacket(plainData, 5), start)
 			answered := 0
-			for now := start; now < start+lookupFor; now += time.Millisecond {
-				b.lookAgain(now)
-				for ; x.answers && answered < len(s.asks()); answered++ {
-					deny(b, s.asks()[answered], 5, 0, now+time.Millisecond)
+			for now := start; now < start+lookupTimeout; now += time.Millisecond {
+				b.runLookups(now)
+				for ; x.answers && answered < len(s.askedAgents()); answered++ {
+					deny(b, s.askedAgents()[answered], 5, 0, now+time.Millisecond)
 				}
 			}
-			if s.caller != x.resets || len(s.asks()) == 0 {
-				t.Errorf("%d resets after asking agents %v", s.caller, s.asks())
+			if s.caller != x.resets || len(s.askedAgents()) == 0 {
+				t.Errorf("%d resets after asking agents %v", s.caller, s.askedAgents())
 			}
 		})
 	}
@@ -250,8 +250,8 @@
 			a.AddBalancer(testSelf, 0)
 			a.Tick(time.Millisecond)
 			a.HandleProbeResult(x.probe, 2*time.Millisecond)
-			now := announcedWithin + time.Second
-			if a.knowsAll(now) != x.want {
+			now := firstAnnouncementTimeout + time.Second
+			if a.knowsAllFlows(now) != x.want {
 				t.Errorf("agent claims to know all flows: %t", !x.want)
 			}
 			var s AgentStatus
--- a/datagram/status.go
+++ b/datagram/status.go
@@ -89,7 +89,7 @@
 	if len(b) == n {
 		return nil, true
 	}
-	ips, rest, ok := cutIPs(b[n:])
+	ips, rest, ok := decodeIPs(b[n:])
 	return ips, ok && len(rest) == 0
 }
 
--- a/datagram/table.go
+++ b/datagram/table.go
@@ -13,14 +13,14 @@
 // that ages are not exact: an entry lives between one and two rotation intervals after its
 // last use.
 type table[V any] struct {
-	turn       time.Duration
-	most       int
-	turned     time.Duration
+	interval   time.Duration
+	capacity   int
+	rotatedAt  time.Duration
 	young, old map[Flow]V
 }
 
-func newTable[V any](turn time.Duration, most int) table[V] {
-	return table[V]{turn: turn, most: most, young: map[Flow]V{}, old: map[Flow]V{}}
+func newTable[V any](interval time.Duration, capacity int) table[V] {
+	return table[V]{interval: interval, capacity: capacity, young: map[Flow]V{}, old: map[Flow]V{}}
 }
 
 func (t *table[V]) get(f Flow) (V, bool) {
@@ -62,11 +62,11 @@
 
 // rotate drops the old generation if the interval is over or the young generation has
 // filled half of the capacity, and returns what it dropped.
-func (t *table[V]) tick(now time.Duration) map[Flow]V {
-	if now-t.turned < t.turn && len(t.young) < t.most/2 {
+func (t *table[V]) rotate(now time.Duration) map[Flow]V {
+	if now-t.rotatedAt < t.interval && len(t.young) < t.capacity/2 {
 		return nil
 	}
 	dropped := t.old
-	t.turned, t.old, t.young = now, t.young, make(map[Flow]V, len(t.young))
+	t.rotatedAt, t.old, t.young = now, t.young, make(map[Flow]V, len(t.young))
 	return dropped
 }
--- a/datagram/upstream.go
+++ b/datagram/upstream.go
@@ -21,33 +21,33 @@
 
 // upstream is what an agent knows about its upstream.
 type upstream struct {
-	state    UpstreamState
-	id       string
-	born     int64
-	sequence int64
-	slots    int
-	coldTill time.Duration
+	state     UpstreamState
+	id        string
+	born      int64
+	sequence  int64
+	slots     int
+	coldUntil time.Duration
 	// announcedAt is when the last announcement arrived.
-	announced time.Duration
+	announcedAt time.Duration
 	// unansweredSince is when the first opening was forwarded since the last packet from
 	// the upstream. 0 means none.
-	gave time.Duration
+	unansweredSince time.Duration
 	// lastPacket is when the last packet from the upstream arrived. callerRepeated is set
 	// if a caller has retransmitted data since then and got no answer.
-	sign time.Duration
-	mute bool
+	lastPacket     time.Duration
+	callerRepeated bool
 	// hasSent is set once any packet from the upstream has arrived, announced or not.
-	answers bool
+	hasSent bool
 	// listens is set if something accepted a connection at its address.
 	listens bool
 	// allFlowsKnown is set if the agent knows every flow of this run of the upstream.
-	complete bool
-	bucket   bucket
+	allFlowsKnown bool
+	bucket        tokenBucket
 }
 
 // upstreamSilenceTimeout is how long an opening may wait for any packet of the upstream
 // before the upstream is considered silent. It is many times a handshake.
-const silentUpstreamAfter = 50 * time.Millisecond
+const upstreamSilenceTimeout = 50 * time.Millisecond
 
 // apply applies an announcement. It returns fresh as false if the announcement is late or
 // repeated, and reborn as true if it is of another run of the upstream.
@@ -55,7 +55,7 @@
 // A delayed heartbeat must not undo the one that followed it: a draining upstream would get
 // flows again. It has a sequence not above the last one of the same run, or belongs to an
 // earlier run.
-func (u *upstream) accept(a *Announcement, now time.Duration) (fresh, reborn bool) {
+func (u *upstream) apply(a *Announcement, now time.Duration) (fresh, reborn bool) {
 	switch {
 	case a.Born < u.born, a.Born == u.born && a.Sequence <= u.sequence && u.state != UpstreamUnknown:
 		return false, false
@@ -65,8 +65,8 @@
 		*u = upstream{}
 	}
 	// Flows come through the agent only, and none before the first announcement.
-	u.complete = u.complete || reborn || a.Sequence == 1 || a.bornUnder(now)
-	u.announced = now
+	u.allFlowsKnown = u.allFlowsKnown || reborn || a.Sequence == 1 || a.startedDuring(now)
+	u.announcedAt = now
 	u.id, u.born, u.sequence, u.slots = a.ID, a.Born, a.Sequence, a.Slots
 	switch {
 	case u.state == UpstreamDraining, u.state == UpstreamGone:
@@ -77,7 +77,7 @@
 		u.state = UpstreamReady
 	}
 	if a.Cold > 0 {
-		u.coldTill = now + a.Cold
+		u.coldUntil = now + a.Cold
 	}
 	return true, reborn
 }
@@ -88,37 +88,37 @@
 // After a power failure upstreams often start before their agents, which then miss the first
 // announcement. Such an agent knows all flows nevertheless and has to report so, or lookups
 // of lost flows would wait for it.
-func (a *Announcement) bornUnder(uptime time.Duration) bool {
-	return a.Age > 0 && a.Age < uptime+restartLeast
+func (a *Announcement) startedDuring(uptime time.Duration) bool {
+	return a.Age > 0 && a.Age < uptime+minRestartTime
 }
 
 // minRestartTime is less than the time that a killed process takes to restart. The age of an
 // upstream is wrong if its VM's clock has jumped back since it started: small or negative.
 // An age that is positive and too small misleads only if the clock jumps and both upstream
 // and agent restart within seconds.
-const restartLeast = 200 * time.Millisecond
+const minRestartTime = 200 * time.Millisecond
 
 // isSilent reports whether the upstream has left an opening unanswered.
-func (u *upstream) silent(now time.Duration) bool {
-	return u.gave != 0 && now-u.gave > silentUpstreamAfter
+func (u *upstream) isSilent(now time.Duration) bool {
+	return u.unansweredSince != 0 && now-u.unansweredSince > upstreamSilenceTimeout
 }
 
 // tokenBucket is a rate limiter. In any second it admits at most one and a half times the
 // rate.
-type bucket struct {
+type tokenBucket struct {
 	tokens float64
 	at     time.Duration
 	filled bool
 }
 
 // fill fills the bucket with the tokens of half a second.
-func (b *bucket) fill(rate float64) { b.tokens, b.filled = rate/2, true }
+func (b *tokenBucket) fill(rate float64) { b.tokens, b.filled = rate/2, true }
 
 // take reports whether one more opening is within the rate per second, and takes its token.
 //
 // A cold upstream fails if it gets more than it can handle. Its limit holds for any second,
 // so the burst is at most the tokens of half a second.
-func (b *bucket) take(rate float64, now time.Duration) bool {
+func (b *tokenBucket) take(rate float64, now time.Duration) bool {
 	burst := max(1, rate/2)
 	if !b.filled {
 		b.tokens, b.filled = 1, true
--- a/datagram/upstream_test.go
+++ b/datagram/upstream_test.go
@@ -6,7 +6,7 @@
 )
 
 // Guards against a late announcement that makes a draining upstream ready again.
-func TestLateAnnouncementsChangeNothing(t *testing.T) {
+func TestLateAnnouncementsAreIgnored(t *testing.T) {
 	for name, x := range map[string]struct {
 		announcements []Announcement
 		state         UpstreamState
@@ -22,7 +22,7 @@
 		t.Run(name, func(t *testing.T) {
 			var u upstream
 			for i := range x.announcements {
-				u.accept(&x.announcements[i], time.Second)
+				u.apply(&x.announcements[i], time.Second)
 			}
 			if u.state != x.state || u.born != x.born {
 				t.Errorf("state %v of run %d", u.state, u.born)
@@ -32,7 +32,7 @@
 }
 
 // Guards against denials of live flows by an agent that restarted after its upstream.
-func TestOnlyAnAgentOfTheWholeLifeKnowsAllFlows(t *testing.T) {
+func TestAgentKnowsAllFlows(t *testing.T) {
 	for name, x := range map[string]struct {
 		announcements []Announcement
 		want          bool
@@ -48,23 +48,23 @@
 		t.Run(name, func(t *testing.T) {
 			a := Agent{}
 			for i := range x.announcements {
-				a.upstream.accept(&x.announcements[i], 100*time.Millisecond)
+				a.upstream.apply(&x.announcements[i], 100*time.Millisecond)
 			}
-			if a.knowsAll(announcedWithin) != x.want {
+			if a.knowsAllFlows(firstAnnouncementTimeout) != x.want {
 				t.Errorf("knows all flows: %t", !x.want)
 			}
 		})
 	}
-	if (&Agent{}).knowsAll(maxFlowLifetime+time.Second) != true {
+	if (&Agent{}).knowsAllFlows(maxFlowLifetime+time.Second) != true {
 		t.Error("an agent older than any flow does not know all flows")
 	}
 }
 
 // Guards against more openings at a cold upstream in any second than its limit.
-func TestColdUpstreamGetsNoMoreThanItBears(t *testing.T) {
+func TestColdUpstreamRateLimit(t *testing.T) {
 	for name, rate := range map[string]float64{"slow": 2, "one": 1, "fast": 40, "less than one": 0.5} {
 		t.Run(name, func(t *testing.T) {
-			var b bucket
+			var b tokenBucket
 			var taken []time.Duration
 			for now := time.Duration(0); now < 10*time.Second; now += time.Millisecond {
 				if b.take(rate, now) {
@@ -91,7 +91,7 @@
 
 // Guards against late or repeated statuses of an agent that change the balancer's view: those
 // of an earlier run are recognized without comparing clocks, which may jump.
-func TestFormerLifeOfAnAgentIsNotBelieved(t *testing.T) {
+func TestStatusOfEarlierRunIsIgnored(t *testing.T) {
 	x := newAgents()
 	hear := func(life Life, seq uint32, up, now time.Duration, s UpstreamState) {
 		x.applyStatus(1, AgentStatus{Life: life, Sequence: seq, Uptime: MillisOf(up), State: s}, now)
--- a/experiment/upstream.go
+++ b/experiment/upstream.go
@@ -125,7 +125,7 @@
 		switch {
 		case p.Open:
 			u.handleOpening(p, b, h)
-		case h == nil || !h.open && p.Number != h.seq+1:
+		case h == nil || !h.open && p.AckNumber != h.seq+1:
 			w.recordMisroute(p.Flow, u)
 			u.bounce(b)
 		default:
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -284,7 +284,7 @@
 // isLookup reports whether a message belongs to the lookup of a flow.
 func isLookup(k datagram.Kind, f datagram.Flags) bool {
 	switch k {
-	case datagram.KindLocate, datagram.KindLocated, datagram.KindDenied, datagram.KindMine, datagram.KindNotMine:
+	case datagram.KindLocate, datagram.KindLocated, datagram.KindNotHeld, datagram.KindHeld, datagram.KindReturned:
 		return true
 	case datagram.KindPacket:
 		return f&datagram.FlagLookup != 0
@@ -456,7 +456,7 @@
 	v.a.Start()
 	w.after(cmp.Or(w.storeLatency, defaultStoreLatency), func() {
 		if v.life == life {
-			v.a.Recall(v.drainRecorded)
+			v.a.SetRecordedDraining(v.drainRecorded)
 		}
 	})
 	if b := w.balancersByAddress(); len(b) > 0 {
--- a/node/agent.go
+++ b/node/agent.go
@@ -159,7 +159,7 @@
 			return
 		}
 	}
-	a.loop.do(a.ctx, func(time.Duration) { a.agent.Recall(draining) })
+	a.loop.do(a.ctx, func(time.Duration) { a.agent.SetRecordedDraining(draining) })
 }
 
 // applySettings updates the store's address from the settings and contacts the seeds.
--- a/node/relay_bench_test.go
+++ b/node/relay_bench_test.go
@@ -54,7 +54,7 @@
 	mine = append(mine, packet[21:23]...)
 	mine = append(mine, packet[13:17]...)
 	mine = append(mine, packet[23:25]...)
-	h := datagram.Message{Kind: datagram.KindMine}
+	h := datagram.Message{Kind: datagram.KindHeld}
 	h.Put(mine, x.Keys[0])
 	x.HandleMessage(7, mine, 0)
 
