--- a/demo/bench_test.go
+++ b/demo/bench_test.go
@@ -11,9 +11,11 @@
 	"pomeloway.example/pomeloway/guard"
 )
 
+// echoed is the number of bytes that one echo request sends.
 const echoed = 64 << 20
 
-// pattern is a body that can be checked without being held.
+// pattern generates a body of a given size that can be verified without storing
+// it.
 type pattern struct{ left, at int }
 
 func (p *pattern) Read(b []byte) (int, error) {
@@ -28,8 +30,9 @@
 	return n, nil
 }
 
-// BenchmarkSprayed echoes 64 MiB over one flow, with one balancer and with three
-// that each datagram is sprayed over; the difference is what reordering costs.
+// BenchmarkSprayed echoes 64 MiB over one flow through one balancer, and through
+// three that the fabric distributes its datagrams over at random. The difference
+// is the cost of reordering.
 func BenchmarkSprayed(b *testing.B) {
 	for name, balancers := range map[string]int{"one": 1, "three": 3} {
 		b.Run(name, func(b *testing.B) {
@@ -48,7 +51,7 @@
 	}
 }
 
-// post sends so many bytes and returns the answer.
+// post sends size bytes and returns the answer.
 func post(ctx context.Context, b *testing.B, f *flow, path string, size int) *http.Response {
 	b.Helper()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+callerName+path, &pattern{left: size})
@@ -62,6 +65,7 @@
 	return a
 }
 
+// echo sends a pattern and verifies that the same bytes come back.
 func echo(b *testing.B, f *flow) {
 	ctx, stop := context.WithTimeout(b.Context(), 2*time.Minute)
 	defer stop()
@@ -71,6 +75,6 @@
 	io.Copy(want, &pattern{left: echoed})
 	n, err := io.Copy(got, a.Body)
 	if err != nil || n != echoed || string(want.Sum(nil)) != string(got.Sum(nil)) {
-		b.Fatalf("%d bytes came back, %v", n, err)
+		b.Fatalf("echo returned %d bytes, or wrong ones: %v", n, err)
 	}
 }
--- a/demo/callers.go
+++ b/demo/callers.go
@@ -20,7 +20,8 @@
 	"pomeloway.example/pomeloway/standin"
 )
 
-// Behaviour of callers.
+// Behaviour of callers. Think times, feed lengths and upload sizes are random
+// within these limits.
 const (
 	thinkMost     = 60 * time.Millisecond
 	feedLinesMost = 60
@@ -30,12 +31,12 @@
 	flowRequests  = 40
 	orderTries    = 6
 	reopenAfter   = 100 * time.Millisecond
-	// loseAnswers is how often, of ten, a caller asks again for an order that
-	// was answered, as if the answer had been lost.
+	// loseAnswers is the number of answered orders, of ten, that a caller sends
+	// again as if the answer had been lost.
 	loseAnswers = 2
 )
 
-// caller is one person at a screen.
+// caller simulates one user of a service.
 type caller struct {
 	s       *Site
 	rec     *recorder
@@ -43,11 +44,13 @@
 	name    string
 	service int
 	n       int
-	// shared is a port that it shares with other callers; nil means its own.
+	// shared is a transport that several callers use; nil means that each flow
+	// gets a port of its own.
 	shared *quic.Transport
 }
 
-// runCallers runs callers until the context ends; each ends what it began.
+// runCallers runs callers until the context ends; each finishes the request or
+// feed that it has started.
 func runCallers(ctx context.Context, s *Site, rec *recorder, count int, seed uint64) {
 	var w sync.WaitGroup
 	for i := range count {
@@ -64,6 +67,7 @@
 	w.Wait()
 }
 
+// uploadService returns the index of the service that callers upload to.
 func uploadService(d Deployment) int {
 	for i, s := range d.Services {
 		if s.Upload {
@@ -73,7 +77,7 @@
 	return 0
 }
 
-// open opens a flow, trying again until the context ends.
+// open opens a flow. It retries until the context ends, then returns nil.
 func (c *caller) open(ctx context.Context) *flow {
 	for ctx.Err() == nil {
 		f, err := c.openOnce(ctx)
@@ -96,10 +100,11 @@
 	return openFlow(ctx, c.s, c.rec, c.service)
 }
 
+// openFailed counts a flow that could not be opened.
 func (c *caller) openFailed(err error) {
 	var app *quic.ApplicationError
 	if errors.As(err, &app) || wasReset(err) && c.s.anyOut() {
-		return // it was opened, and then closed with a reason
+		return // the flow was opened, then closed with a reason
 	}
 	var t *quic.TransportError
 	if errors.As(err, &t) && t.ErrorCode == quic.ConnectionRefused {
@@ -110,12 +115,14 @@
 	c.rec.do(func(r *Report) { r.FlowsFailedToOpen++ })
 }
 
+// think waits for a random time, as a user does between two requests.
 func (c *caller) think(ctx context.Context) {
 	clock.Sleep(ctx, time.Duration(c.rand.Int64N(int64(thinkMost))))
 }
 
-// each opens flows and uses each for a while; use returns false when the flow
-// must be given up.
+// each opens one flow after another until the context ends, and calls use on each
+// flow up to the given number of times. It closes the flow early when use returns
+// false.
 func (c *caller) each(ctx context.Context, uses int, use func(*flow) bool) {
 	for ctx.Err() == nil {
 		f := c.open(ctx)
@@ -129,17 +136,17 @@
 	}
 }
 
-// feeds holds one feed after another, as a class or a trading desk does.
+// feeds reads one feed after another, as a class or a trading desk does.
 func (c *caller) feeds(ctx context.Context) {
 	c.each(ctx, 3, func(f *flow) bool {
-		// A feed that has begun is read to its end, after the run's end too.
+		// A started feed is read to its end, even after the end of the run.
 		lines := feedLinesMin + c.rand.IntN(feedLinesMost-feedLinesMin)
 		return c.feed(context.Background(), f, lines, feedEvery)
 	})
 }
 
-// feed holds one feed, coming back while it is refused; it reports whether the
-// flow can be used on.
+// feed reads one feed and retries while it is refused. It reports whether the
+// flow is still usable.
 func (c *caller) feed(ctx context.Context, f *flow, lines int, every time.Duration) bool {
 	for {
 		err := f.feed(ctx, c.name, lines, every)
@@ -150,7 +157,7 @@
 	}
 }
 
-// went counts a failure and reports whether the flow can be used on.
+// went counts the error, if any, and reports whether the flow is still usable.
 func (c *caller) went(ctx context.Context, f *flow, err error, what string) bool {
 	if err != nil {
 		f.note(f.classify(ctx, err), err, what)
@@ -158,7 +165,7 @@
 	return err == nil
 }
 
-// orders looks at the screen and places orders.
+// orders requests the screen and places orders, in random order.
 func (c *caller) orders(ctx context.Context) {
 	c.each(ctx, flowRequests, func(f *flow) bool {
 		if c.rand.IntN(2) == 0 {
@@ -168,6 +175,7 @@
 	})
 }
 
+// screen requests the screen and reports whether the flow is still usable.
 func (c *caller) screen(f *flow) bool {
 	start := time.Now()
 	r, err := f.do(context.Background(), http.MethodGet, "/screen?caller="+c.name, nil, "")
@@ -175,7 +183,8 @@
 	return c.went(context.Background(), f, err, "screen")
 }
 
-// finish checks and counts a request's answer.
+// finish counts a request by its result, and counts a wrong answer if right
+// rejects the body.
 func (c *caller) finish(r *result, err error, start time.Time, right func(standin.Reply) bool) {
 	switch {
 	case err != nil:
@@ -202,8 +211,9 @@
 	}
 }
 
-// order places one order under a key, and asks again under the same key while
-// its outcome is not known, now and then although it is.
+// order places one order with an idempotency key. It retries with the same key
+// while the outcome is unknown, and repeats some answered orders. It reports
+// whether the flow is still usable.
 func (c *caller) order(f *flow) bool {
 	c.n++
 	id := fmt.Sprintf("%s-%d", c.name, c.n)
@@ -221,6 +231,7 @@
 	return usable
 }
 
+// key requests an idempotency key from the agent.
 func (c *caller) key(ctx context.Context, f *flow) (string, error) {
 	r, err := f.do(ctx, http.MethodPost, agent.PathKey, nil, "")
 	if err != nil || r.status != http.StatusOK {
@@ -230,8 +241,9 @@
 	return k.Key, eris.Wrap(json.Unmarshal(r.body, &k), "key")
 }
 
-// place sends the order until it is answered or refused; it reports whether it
-// was answered and whether the flow can be used on.
+// place sends the order up to orderTries times until it is answered, on a new flow
+// if the flow fails. It reports whether the order was answered and whether f is
+// still usable.
 func (c *caller) place(ctx context.Context, f *flow, id, key string) (ok, usable bool) {
 	own := f
 	defer func() {
@@ -269,6 +281,7 @@
 	return false, f == own
 }
 
+// checkOrder counts the answer to an order as wrong if it belongs to another one.
 func (c *caller) checkOrder(r *result, id string) bool {
 	var p standin.Reply
 	if json.Unmarshal(r.body, &p) != nil || p.Order != id || p.Caller != c.name {
@@ -277,7 +290,8 @@
 	return true
 }
 
-// again asks for an answered order on a new flow: it must be repeated, not run.
+// again sends an answered order on a new flow. The agent must repeat the stored
+// answer and not run the order a second time.
 func (c *caller) again(ctx context.Context, id, key string) {
 	f := c.open(ctx)
 	if f == nil {
@@ -293,12 +307,12 @@
 	if r.status == http.StatusOK {
 		c.checkOrder(r, id)
 	} else if r.outcome == agent.OutcomeNotRun {
-		// The order did run: a refusal that says otherwise is false.
+		// The order has run, so the outcome "not run" is false.
 		c.rec.do(func(x *Report) { x.RefusedButRun++ })
 	}
 }
 
-// uploads sends scans or schedules.
+// uploads uploads random bodies and checks the hash in each answer.
 func (c *caller) uploads(ctx context.Context) {
 	c.each(ctx, 5, func(f *flow) bool {
 		b := make([]byte, 1+c.rand.IntN(uploadMost))
--- a/demo/certificate.go
+++ b/demo/certificate.go
@@ -13,9 +13,12 @@
 	"github.com/rotisserie/eris"
 )
 
+// callerName is the host name in the certificate of the agents, which callers
+// verify.
 const callerName = "pomeloway.demo"
 
-// selfSigned returns the TLS settings of agents and of callers that trust them.
+// selfSigned returns TLS settings with a new self-signed certificate for agents,
+// and TLS settings for callers that trust it.
 func selfSigned() (serve, call *tls.Config, err error) {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -15,12 +15,15 @@
 	"pomeloway.example/pomeloway/guard"
 )
 
-// ErrBroken says that the run broke an invariant; the report lists which.
-var ErrBroken = errors.New("an invariant broke; see \"broken\" in the report")
+// ErrBroken is returned when the run violated an invariant; the report lists
+// which.
+var ErrBroken = errors.New("the run violated invariants; see \"broken\" in the report")
 
+// startTimeout bounds the start of a site until every balancer is ready.
 const startTimeout = 20 * time.Second
 
-// Run runs a demo and writes its report.
+// Run runs a demo and writes its report. It returns ErrBroken if the run
+// violated an invariant.
 func Run(ctx context.Context, o Options, progress, out io.Writer) error {
 	log, done, err := openLog(o.Log)
 	if err != nil {
@@ -52,7 +55,8 @@
 	return nil
 }
 
-// play runs callers and the script together and judges what was measured.
+// play runs the callers and the script concurrently, and returns the report
+// with its violated invariants.
 func play(ctx context.Context, s *Site, rec *recorder, p *progress, o Options) (*Report, error) {
 	began := time.Now()
 	run, stop := context.WithTimeout(ctx, o.Duration)
@@ -75,10 +79,12 @@
 	return &r, nil
 }
 
-// sampleEvery is how often the callers' flows are counted for each upstream.
+// sampleEvery is the interval at which the callers' open flows are counted per
+// upstream.
 const sampleEvery = 500 * time.Millisecond
 
-// watchShares samples how flows spread over the upstreams that take new ones.
+// watchShares periodically samples how the open flows are distributed over the
+// upstreams that accept new flows.
 func (s *Site) watchShares(ctx context.Context, rec *recorder) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, sampleEvery)
@@ -86,7 +92,7 @@
 	}
 }
 
-// takers returns the agents that take new flows, by service.
+// takers returns the IDs of the agents that accept new flows, by service.
 func (s *Site) takers() map[string][]string {
 	out := map[string][]string{}
 	for _, u := range s.Units() {
@@ -97,7 +103,7 @@
 	return out
 }
 
-// measure adds what the upstreams and the platform saw.
+// measure adds the counters of the upstreams and of the platform to the report.
 func (s *Site) measure(r *Report, x *script) {
 	r.RunTwice = s.Ledger.Twice()
 	for _, u := range s.all() {
@@ -118,6 +124,8 @@
 	r.PlatformReads, r.PlatformWrites = c.Reads, c.Writes
 }
 
+// writeReport writes the report to the named file, to out if the name is "-",
+// or nowhere if it is empty.
 func writeReport(r *Report, to string, out io.Writer) error {
 	switch to {
 	case "":
@@ -133,6 +141,8 @@
 	return r.write(f)
 }
 
+// openLog returns a logger that writes to the named file, or discards all lines
+// if the name is empty, and a function that closes the file.
 func openLog(name string) (*slog.Logger, func(), error) {
 	if name == "" {
 		return slog.New(slog.DiscardHandler), func() {}, nil
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -1,6 +1,6 @@
 // Package demo runs a whole site in one process over loopback: the platform,
-// the fabric, upstreams, agents, balancers, operators and callers, and breaks
-// parts of it while callers and upstreams measure.
+// the fabric, upstreams, agents, balancers, operators and callers. It injects
+// faults while the callers and upstreams measure their effect.
 package demo
 
 import (
@@ -15,29 +15,30 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// Deployment is one user's site of today.
+// Deployment describes the site of one user of pomeloway.
 type Deployment struct {
 	Name     string
 	Zones    []bundle.Name
 	Services []ServiceSize
-	// Balancers is how many entry VMs there are.
+	// Balancers is the number of VMs that run a balancer.
 	Balancers int
 }
 
-// ServiceSize is one service of a deployment.
+// ServiceSize describes one service of a deployment.
 type ServiceSize struct {
 	Name                          bundle.Name
 	Upstreams, Slots, Connections int
-	// Upload says that callers upload to it; else they hold feeds and order.
+	// Upload makes callers upload to the service; otherwise they read feeds and
+	// place orders.
 	Upload bool
-	// Protocol is what its upstreams are spoken to by; empty means HTTP/1.1.
+	// Protocol is the protocol between agents and upstreams; empty means HTTP/1.1.
 	Protocol upstream.Protocol
-	// Work is how long a warm upstream works on a request; zero means
+	// Work is the time that a warm upstream takes for a request; zero means
 	// upstreamWork.
 	Work time.Duration
 }
 
-// Deployments are the users' sites by name.
+// Deployments holds the deployments that a demo can run, by name.
 var Deployments = map[string]Deployment{
 	"agency": {
 		Name: "agency", Zones: []bundle.Name{"dar-1", "dar-2", "dar-3"}, Balancers: 3,
@@ -55,12 +56,14 @@
 	},
 }
 
-// Cold start of the stand-ins' upstreams.
+// Cold start of the upstream stand-ins: a cold upstream handles coldSlots
+// requests at once, and doubles that after each coldAnswers answers.
 const (
 	coldSlots   = 1
 	coldAnswers = 5
 )
 
+// bundleText is the template of a deployment's first bundle.
 var bundleText = template.Must(template.New("bundle").Parse(`# Site of {{.Name}}.
 services:
 {{- range $i, $s := .Services}}
@@ -87,10 +90,11 @@
 currentKey: {{.Key.ID}}
 `))
 
-// queueShare is the queue's length for each slot.
+// queueShare is the length of an upstream's queue per slot.
 const queueShare = 8
 
-// Text returns the deployment's first bundle, its services on the host.
+// Text returns the text of the deployment's first bundle, with the addresses of
+// all services on the host.
 func (d Deployment) Text(host netip.Addr, key keyring.Secret) []byte {
 	type service struct {
 		ID, Slots, Connections, Queue int
@@ -117,5 +121,5 @@
 	return b.Bytes()
 }
 
-// servicePort is the port of the i-th service.
+// servicePort returns the port of the i-th service.
 func servicePort(i int) uint16 { return uint16(8001 + i) }
--- a/demo/faults_test.go
+++ b/demo/faults_test.go
@@ -16,8 +16,7 @@
 	"pomeloway.example/pomeloway/standin"
 )
 
-// during runs callers while f does something to the site, and returns what
-// callers and upstreams measured.
+// during runs callers while f applies faults to the site, and returns the report.
 func during(t *testing.T, s *Site, rec *recorder, callers int, f func(ctx context.Context)) *Report {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
@@ -35,6 +34,7 @@
 	return &r
 }
 
+// mustHold fails the test for each violated invariant.
 func mustHold(t *testing.T, r *Report) {
 	t.Helper()
 	for _, b := range r.Broken {
@@ -42,9 +42,10 @@
 	}
 }
 
-// A VM is replaced while a class reads its feed, a clerk uploads and a buyer
-// orders; then the next one, at once. Some upstreams stop before their agents.
-// Nothing that was begun may be cut, and no new work may come after 3 s.
+// Guards against requests that are cut when VMs are replaced. Two upstreams drain
+// shortly after each other while callers read feeds, upload and order; one of them
+// reports that it drains before its agent does. All started requests must finish,
+// and a draining upstream must get no new work after 3 s.
 func TestDrainCutsNothing(t *testing.T) {
 	for _, name := range []string{"agency", "saltbush"} {
 		t.Run(name, func(t *testing.T) {
@@ -56,7 +57,7 @@
 					u := s.Units()[0]
 					left, at = append(left, u), append(at, time.Now())
 					if i == 1 {
-						u.Drain(true) // the upstream says so before its agent is told
+						u.Drain(true) // the upstream reports it before its agent is stopped
 						time.Sleep(1500 * time.Millisecond)
 					}
 					go s.StopUnit(u)
@@ -68,19 +69,20 @@
 			mustHold(t, r)
 			for i, u := range left {
 				if d := time.Unix(0, u.LastWork.Load()).Sub(at[i]); d > 3*time.Second {
-					t.Errorf("leaving upstream %d got new work after %v", i, d)
+					t.Errorf("draining upstream %d got new work after %v", i, d)
 				}
 			}
 			if r.RequestsUnknown > 0 {
-				t.Errorf("%d requests ended as unknown in a planned stop", r.RequestsUnknown)
+				t.Errorf("%d requests had an unknown outcome in a planned stop", r.RequestsUnknown)
 			}
 		})
 	}
 }
 
-// An upstream turns cold without warning while its load end point says that all
-// is well, twice. It sheds what it can't bear; callers must not notice, and once
-// a second has passed it must get no more than it bears.
+// Guards against overload of an upstream that becomes cold without warning, twice,
+// while its load endpoint reports no change. It sheds the requests beyond its
+// capacity. Callers must see no error, and after a second the upstream must get no
+// more requests than it can handle.
 func TestUnwarnedColdStart(t *testing.T) {
 	s, rec := startSite(t, "saltbush", guard.Off{})
 	r := during(t, s, rec, 60, func(ctx context.Context) {
@@ -92,13 +94,13 @@
 		}
 	})
 	mustHold(t, r)
-	t.Logf("%d pieces of work came before the agents could know", r.OverColdUnwarned)
+	t.Logf("%d requests exceeded the cold capacity before the agents could know of it", r.OverColdUnwarned)
 }
 
-// Operators take a zone out at short notice while the platform answers slowly,
-// views are uneven, and one balancer hears of nothing any more. The zone must
-// fall silent within 3 s, other zones' flows must not notice, and the return
-// must be smooth.
+// Guards against a zone that is still served after operators took it out. The
+// platform answers slowly, and the path from the fabric to one caller drops all
+// datagrams. The zone's upstreams must stop working within 3 s, flows in other
+// zones must not break, and the zone's return must break nothing.
 func TestZoneOutAndBack(t *testing.T) {
 	s, rec := startSite(t, "saltbush", guard.Off{})
 	s.Platform.Set(standin.Faults{Delay: 200 * time.Millisecond})
@@ -126,16 +128,16 @@
 		time.Sleep(2 * time.Second)
 	})
 	mustHold(t, r)
-	t.Logf("zone silent after %v", last)
+	t.Logf("last work in the zone %v after it was taken out", last)
 	if last > 3*time.Second {
-		t.Errorf("the zone was still served %v after it went out", last)
+		t.Errorf("the zone was still served %v after it was taken out", last)
 	}
 	if r.FlowsGivenUpWithZone == 0 {
-		t.Error("no flow ended with the zone: it was not out")
+		t.Error("no flow was closed with the zone, so it was not taken out")
 	}
 }
 
-// flowInZone opens flows until one ends in the zone.
+// flowInZone opens flows until one reaches an agent in the zone.
 func flowInZone(ctx context.Context, t *testing.T, s *Site, z bundle.ZoneID) *flow {
 	t.Helper()
 	for range 200 {
@@ -148,30 +150,32 @@
 		}
 		f.close()
 	}
-	t.Fatal("no flow came to the zone")
+	t.Fatal("none of 200 flows reached the zone")
 	return nil
 }
 
-// The one datagram that closed the flow was lost on its way, and its agent says
-// no more. The balancers must tell the caller at its next datagram, or a
-// teacher's screen stands still until the idle timeout.
+// mustBeReset waits until the flow ends and fails the test unless a stateless
+// reset ended it. The only datagram that closed the flow was lost, and the agent
+// sends no other. The balancers must reset the flow at the caller's next datagram;
+// otherwise the caller gets no data until its idle timeout.
 func mustBeReset(t *testing.T, f *flow) {
 	t.Helper()
 	start := time.Now()
 	select {
 	case <-f.conn.Context().Done():
 	case <-time.After(callerIdle + time.Second):
-		t.Fatal("the flow never ended")
+		t.Fatal("the flow is still open after the idle timeout")
 	}
 	if err := context.Cause(f.conn.Context()); !wasReset(err) {
-		t.Errorf("the flow ended after %v by %v, not by a reset", time.Since(start), err)
+		t.Errorf("the flow ended after %v with %v, want a stateless reset", time.Since(start), err)
 	}
-	t.Logf("a flow whose closing was lost ended %v after its path came back", time.Since(start))
+	t.Logf("the flow was reset %v after its path was restored", time.Since(start))
 }
 
-// The platform is down. What was accepted stays; a balancer and an agent that
-// start now must serve all the same, from what their peers know; and when the
-// platform is back there is no storm of calls.
+// Guards against new processes that depend on the platform. During an outage of
+// the platform, a new balancer and a new agent must serve callers with the bundle
+// that they get from their peers. After the outage the processes must not send
+// the platform a burst of calls.
 func TestNewbornsServeWhileThePlatformIsDown(t *testing.T) {
 	s, rec := startSite(t, "agency", guard.Off{})
 	r := during(t, s, rec, 40, func(ctx context.Context) {
@@ -187,9 +191,9 @@
 		}
 		limit, stop := context.WithTimeout(ctx, 20*time.Second)
 		defer stop()
-		// Callers open flows one after another until one ends at the newborn.
+		// Open flows one after another until one reaches the new agent.
 		if poll(limit, func() bool { return b.Status().Ready && opensAt(ctx, s, u) }) != nil {
-			t.Errorf("newborn balancer ready %t; no flow came to the newborn agent", b.Status().Ready)
+			t.Errorf("new balancer ready: %t; no flow reached the new agent", b.Status().Ready)
 		}
 		s.SyncFabric()
 		before := s.Platform.Counts()
@@ -197,14 +201,14 @@
 		time.Sleep(3 * time.Second)
 		after := s.Platform.Counts()
 		if n := after.Reads + after.Writes - before.Reads - before.Writes; n > 60 {
-			t.Errorf("%d calls in the 3 s after the outage, of %d processes", n, len(s.Units())+len(s.Balancers()))
+			t.Errorf("%d calls to the platform in the 3 s after the outage, from %d processes", n, len(s.Units())+len(s.Balancers()))
 		}
 	})
 	mustHold(t, r)
 }
 
-// opensAt opens a flow and reports whether it ended at the unit's agent, and was
-// answered there.
+// opensAt opens a flow and reports whether it reached the unit's agent and got an
+// answer there.
 func opensAt(ctx context.Context, s *Site, u *unit) bool {
 	f := flowAt(ctx, s, u)
 	if f == nil {
@@ -215,7 +219,7 @@
 	return err == nil && r.status == http.StatusOK
 }
 
-// flowAt opens a flow and returns it if it ended at the unit's agent.
+// flowAt opens a flow and returns it if it reached the unit's agent, else nil.
 func flowAt(ctx context.Context, s *Site, u *unit) *flow {
 	f, err := openFlow(ctx, s, newRecorder(), u.service)
 	if err != nil {
@@ -228,9 +232,10 @@
 	return f
 }
 
-// An upstream's VM dies and another starts at the same address. Its callers'
-// flows and orders are of the old life: the new one must not take them, and say
-// so at once.
+// Guards against an agent that accepts the flows and idempotency keys of an earlier
+// agent at its address. An upstream's VM is killed and another starts at the same
+// address. A request on an old flow must fail within 5 s, and a repeated order
+// must not run again but get an unknown outcome.
 func TestNextLifeTakesNothingOfTheOld(t *testing.T) {
 	s, rec := startSite(t, "agency", guard.Off{})
 	var f *flow
@@ -245,7 +250,7 @@
 	c := &caller{s: s, rec: rec, rand: rand.New(rand.NewPCG(1, 1)), name: "buyer"}
 	key, err := c.key(t.Context(), f)
 	if err != nil || key == "" {
-		t.Fatalf("key %q, %v", key, err)
+		t.Fatalf("request for a key: %q, %v", key, err)
 	}
 	if r, err := f.do(t.Context(), http.MethodPost, "/order?caller=buyer", []byte("oats"), key); err != nil || r.status != http.StatusOK {
 		t.Fatalf("%+v, %v", r, err)
@@ -257,9 +262,9 @@
 	}
 	start := time.Now()
 	if _, err := f.do(t.Context(), http.MethodGet, "/screen?caller=x", nil, ""); err == nil {
-		t.Error("a request on a flow of the old life was answered")
+		t.Error("a request on a flow of the killed agent was answered")
 	} else if d := time.Since(start); d > 5*time.Second {
-		t.Errorf("the caller heard after %v: %v", d, err)
+		t.Errorf("the request failed only after %v: %v", d, err)
 	}
 	r := askAgain(t, s, rec, key)
 	if r.outcome != agent.OutcomeUnknown || s.Ledger.Runs("oats") != 1 {
@@ -267,7 +272,7 @@
 	}
 }
 
-// askAgain sends the order again on a new flow.
+// askAgain sends the order "oats" again on a new flow.
 func askAgain(t *testing.T, s *Site, rec *recorder, key string) *result {
 	t.Helper()
 	f, err := openFlow(t.Context(), s, rec, 0)
@@ -282,7 +287,8 @@
 	return r
 }
 
-// With each guard off, the failure that it is for must show in the report.
+// Guards against a report that misses failures: with each guard switched off, the
+// report must show the failure that the guard prevents.
 func TestReportShowsASwitchedOffGuard(t *testing.T) {
 	for name, shows := range map[guard.Name]func(*Report) bool{
 		guard.Journal: func(r *Report) bool { return r.RunTwice > 0 },
@@ -314,13 +320,14 @@
 			rep := rec.report(time.Time{}, time.Time{})
 			s.measure(&rep, x)
 			if !shows(&rep) {
-				t.Errorf("the report does not show it: %+v", r)
+				t.Errorf("the report does not show the missing guard: %+v", r)
 			}
 		})
 	}
 }
 
-// askOn asks again and again on one flow, so that its upstream always has a caller.
+// askOn sends one request after another on a flow, so that its upstream always has
+// work.
 func askOn(ctx context.Context, f *flow) {
 	for ctx.Err() == nil {
 		if _, err := f.do(ctx, http.MethodGet, "/screen?caller=x", nil, ""); err != nil {
@@ -330,13 +337,14 @@
 	}
 }
 
-// workAfterDrain drains an upstream and asks it for more on a flow that it holds.
+// workAfterDrain drains an upstream and sends it a request on an existing flow
+// 3.5 s later.
 func workAfterDrain(ctx context.Context, t *testing.T, s *Site, x *script) {
 	limit, stop := context.WithTimeout(ctx, 20*time.Second)
 	defer stop()
 	var f *flow
 	if poll(limit, func() bool { f = flowAt(limit, s, s.Units()[0]); return f != nil }) != nil {
-		t.Fatal("no flow came to the upstream that will leave")
+		t.Fatal("no flow reached the upstream that is to drain")
 	}
 	defer f.close()
 	x.drain(ctx)
@@ -345,15 +353,16 @@
 	time.Sleep(500 * time.Millisecond)
 }
 
-// Two faults at once, drawn by seed, and the same one twice.
+// Guards against faults that are tolerated alone but not together. Pairs of faults
+// are drawn at random by the seed; a pair may be the same fault twice.
 func TestPairsOfFaults(t *testing.T) {
 	faults := []struct {
 		name string
 		do   func(*script, context.Context) error
 	}{
-		{"balancer dies", (*script).killBalancer}, {"balancer joins", (*script).joinBalancer},
+		{"balancer crashes", (*script).killBalancer}, {"balancer joins", (*script).joinBalancer},
 		{"upstream drains", (*script).drain}, {"upstream turns cold", (*script).turnCold},
-		{"answers cross", (*script).cross}, {"platform goes down", (*script).platformDown},
+		{"upstreams swap answers", (*script).cross}, {"platform goes down", (*script).platformDown},
 	}
 	r := rand.New(rand.NewPCG(7, uint64(size(t, "POMELOWAY_SEED", 1))))
 	for range size(t, "POMELOWAY_PAIRS", 3) {
@@ -374,8 +383,9 @@
 	}
 }
 
-// A caller sends a header of 80 kB. It must hear why (431) and that nothing ran,
-// and its flow must go on.
+// Guards against a flow that breaks at an oversized header. A request with a header
+// of 80 kB must get status 431 and must not run, and the next request on the flow
+// must be answered.
 func TestHeaderOverTheLimitIsRefused(t *testing.T) {
 	s, rec := startSite(t, "agency", guard.Off{})
 	f, err := openFlow(t.Context(), s, rec, 0)
@@ -388,6 +398,6 @@
 		t.Errorf("%+v, %v, runs %d", r, err, s.Ledger.Runs("oats"))
 	}
 	if r, err := f.do(t.Context(), http.MethodGet, "/screen?caller=x", nil, ""); err != nil || r.status != http.StatusOK {
-		t.Errorf("after it: %+v, %v", r, err)
+		t.Errorf("next request on the flow: %+v, %v", r, err)
 	}
 }
--- a/demo/flow.go
+++ b/demo/flow.go
@@ -24,7 +24,8 @@
 	"pomeloway.example/pomeloway/standin"
 )
 
-// Settings of callers' flows: they find a silent path as fast as the agents.
+// Timeouts of callers. The idle timeout and the keep-alive period make callers
+// detect a silent path as fast as the agents do.
 const (
 	callerIdle      = 8 * time.Second
 	callerKeepAlive = 2 * time.Second
@@ -40,19 +41,19 @@
 	conn    *quic.Conn
 	h3      *http3.ClientConn
 	tr      *quic.Transport
-	// socket is the flow's own; nil if it shares a transport with others.
+	// socket is the UDP socket of this flow; nil if the flow shares a transport.
 	socket *net.UDPConn
 	zone   atomic.Int32
-	// workZone is the zone of the upstream that answered last; it is another than
-	// the flow's if the request was passed on.
+	// workZone is the zone of the upstream that sent the last answer. It differs
+	// from zone if the agent forwarded the request to another agent.
 	workZone atomic.Int32
 	at       atomic.Pointer[string]
 	counted  bool
-	// moved closes the ports that the flow was moved to.
+	// moved holds functions that close the ports which the flow has migrated to.
 	moved []func()
 }
 
-// openFlow opens a flow from a port of its own, or tells why not.
+// openFlow opens a flow from a new port.
 func openFlow(ctx context.Context, s *Site, rec *recorder, service int) (*flow, error) {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -61,12 +62,13 @@
 	return (&flow{s: s, rec: rec, service: service, socket: c, tr: &quic.Transport{Conn: c}}).open(ctx)
 }
 
-// openShared opens a flow from a port that it shares with others, as people
-// behind one address do.
+// openShared opens a flow on a transport that other flows use too, so that they
+// share one source address and port.
 func openShared(ctx context.Context, s *Site, rec *recorder, service int, tr *quic.Transport) (*flow, error) {
 	return (&flow{s: s, rec: rec, service: service, tr: tr}).open(ctx)
 }
 
+// open dials the service and makes a first request.
 func (f *flow) open(ctx context.Context) (*flow, error) {
 	ctx, stop := context.WithTimeout(ctx, openTimeout)
 	defer stop()
@@ -80,8 +82,8 @@
 	}
 	f.h3 = (&http3.Transport{}).NewClientConn(f.conn)
 	f.rec.do(func(r *Report) { r.FlowsOpened++ })
-	// The first answer tells where the flow ends, so that a flow which is given
-	// up with its zone later can be told from one that broke.
+	// The first answer names the agent and the zone of the flow. They are needed
+	// to distinguish a flow that is closed with its zone from one that broke.
 	if _, err := f.do(context.WithoutCancel(ctx), http.MethodPost, agent.PathKey, nil, ""); err != nil {
 		f.note(f.classify(context.Background(), err), err, "first request")
 		f.close()
@@ -90,7 +92,8 @@
 	return f, nil
 }
 
-// move takes the flow to a new port, as a caller does whose path went silent.
+// move migrates the flow to a new port, as a caller does when its path has become
+// silent.
 func (f *flow) move(ctx context.Context) error {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -110,6 +113,7 @@
 	return p.Switch()
 }
 
+// close closes the connection and all ports of the flow.
 func (f *flow) close() {
 	if f.conn != nil {
 		f.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
@@ -126,9 +130,10 @@
 	}
 }
 
+// name returns the name of the service.
 func (f *flow) name() string { return string(f.s.Deployment.Services[f.service].Name) }
 
-// result is what came of a request.
+// result is the answer to a request.
 type result struct {
 	status  int
 	outcome agent.Outcome
@@ -137,7 +142,7 @@
 	retry   time.Duration
 }
 
-// do makes a request and reads its answer whole.
+// do sends a request and reads the whole answer.
 func (f *flow) do(ctx context.Context, method, path string, body []byte, key string) (*result, error) {
 	ctx, stop := context.WithTimeout(ctx, requestTimeout)
 	defer stop()
@@ -154,6 +159,8 @@
 	return &result{a.StatusCode, agent.Outcome(a.Header.Get(agent.HeaderOutcome)), b, a.Header, time.Duration(s) * time.Second}, nil
 }
 
+// send sends a request and returns the answer with its body unread. It records
+// the zones and the agent that the answer names.
 func (f *flow) send(ctx context.Context, method, path string, body []byte, key string) (*http.Response, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "https://"+callerName+path, bytes.NewReader(body))
 	if err != nil {
@@ -176,7 +183,7 @@
 	return a, nil
 }
 
-// place counts the flow at its agent, once.
+// place counts the flow at its agent unless it is counted already.
 func (f *flow) place(at string) {
 	if at != "" && !f.counted {
 		f.counted = true
@@ -185,23 +192,25 @@
 	}
 }
 
-// fault is how a request failed.
+// fault is the reason why a request failed.
 type fault uint8
 
 const (
-	// faultFlow: the flow broke under the request.
+	// faultFlow means that the flow broke during the request.
 	faultFlow fault = iota
-	// faultZone: the flow was given up with its availability zone.
+	// faultZone means that the availability zone of the flow was taken out.
 	faultZone
-	// faultUpstream: the flow's VM was killed by the script.
+	// faultUpstream means that the VM of the flow's upstream was killed by the
+	// script.
 	faultUpstream
-	// faultMoved: the agent asked for a new flow before it took the request.
+	// faultMoved means that the agent rejected the request and asked for a new
+	// flow.
 	faultMoved
-	// faultTime: the caller itself gave up.
+	// faultTime means that the context of the caller ended.
 	faultTime
 )
 
-// classify tells why a request failed.
+// classify returns the reason why a request failed.
 func (f *flow) classify(ctx context.Context, err error) fault {
 	var app *quic.ApplicationError
 	var h *http3.Error
@@ -213,7 +222,7 @@
 	case errors.As(err, &app) && strings.Contains(app.ErrorMessage, "zone out"):
 		return faultZone
 	case wasReset(err) && f.s.anyOut():
-		return faultZone // it was opened there, and got no answer that says so
+		return faultZone // opened there, but no answer named the zone yet
 	case f.s.wasOut(bundle.ZoneID(f.zone.Load())), f.s.wasOut(bundle.ZoneID(f.workZone.Load())):
 		return faultZone
 	case strings.Contains(err.Error(), "graceful shutdown"):
@@ -227,13 +236,13 @@
 	return faultFlow
 }
 
-// wasReset reports whether the flow ended by a stateless reset.
+// wasReset reports whether the flow was closed by a stateless reset.
 func wasReset(err error) bool {
 	var r *quic.StatelessResetError
 	return errors.As(err, &r)
 }
 
-// note counts a fault; it returns whether the flow must be opened anew.
+// note counts a failed request in the report.
 func (f *flow) note(x fault, err error, what string) {
 	switch x {
 	case faultFlow:
@@ -246,10 +255,11 @@
 	}
 }
 
-// errFeedRefused says that a feed was not begun; the caller comes back.
+// errFeedRefused is returned when the feed was refused before its first line; the
+// caller may retry.
 var errFeedRefused = errors.New("feed was refused")
 
-// feed reads a feed to its last line.
+// feed requests a feed and reads it to its last line.
 func (f *flow) feed(ctx context.Context, me string, lines int, every time.Duration) error {
 	a, err := f.send(ctx, http.MethodGet, fmt.Sprintf("/feed?caller=%s&lines=%d&every=%s", me, lines, every), nil, "")
 	if err != nil {
--- a/demo/measure.go
+++ b/demo/measure.go
@@ -11,12 +11,11 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// Fleet is a running site for measurements: balancers and agents without
-// callers.
+// Fleet is a site of balancers and agents without callers, for measurements.
 type Fleet struct{ s *Site }
 
-// StartFleet starts a site with so many balancers and upstreams of one service,
-// spread over the zones, that are spoken to by the protocol.
+// StartFleet starts a site with one service. The given numbers of balancers and
+// upstreams are distributed over the zones; agents use protocol p to upstreams.
 func StartFleet(ctx context.Context, balancers, upstreams, zones int, p upstream.Protocol) (*Fleet, error) {
 	d := Deployment{Name: "fleet", Balancers: balancers, Services: []ServiceSize{{Name: "web", Upstreams: upstreams, Slots: 6, Connections: 8000, Protocol: p}}}
 	for z := range zones {
@@ -26,7 +25,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.health = "" // a look at the own VM's upstream is no traffic of the fleet
+	s.health = "" // health checks stay within a VM and are not traffic of the fleet
 	if err := s.Start(ctx); err != nil {
 		s.Close()
 		return nil, err
@@ -34,10 +33,10 @@
 	return &Fleet{s}, nil
 }
 
-// Close ends the fleet.
+// Close stops the fleet.
 func (f *Fleet) Close() { f.s.Close() }
 
-// Change accepts one more bundle and returns how long it took to be in force in
+// Change accepts one more bundle and returns the time until it is in force in
 // every process.
 func (f *Fleet) Change(ctx context.Context) (time.Duration, error) {
 	cur, err := f.s.Desk.Current(ctx)
@@ -52,8 +51,8 @@
 	return time.Since(start), err
 }
 
-// Hold opens flows that each hold a feed with a line a minute, and returns the
-// function that ends them.
+// Hold opens the given number of flows, each with a feed of one line per minute.
+// The returned function closes them.
 func (f *Fleet) Hold(ctx context.Context, flows int) (end func(), err error) {
 	ctx, end = context.WithCancel(ctx)
 	rec := newRecorder()
@@ -69,7 +68,8 @@
 	return end, nil
 }
 
-// PlatformCalls returns the reads and writes that the platform took so far.
+// PlatformCalls returns the numbers of reads and writes that the platform has
+// received.
 func (f *Fleet) PlatformCalls() (reads, writes uint64) {
 	c := f.s.Platform.Counts()
 	return c.Reads, c.Writes
--- a/demo/options.go
+++ b/demo/options.go
@@ -11,28 +11,29 @@
 	"pomeloway.example/pomeloway/settings"
 )
 
-// Options are the settings of a demo.
+// Options holds the settings of a demo.
 type Options struct {
 	Deployment string        `help:"Site to run: agency or saltbush." default:"agency" env:"POMELOWAY_DEPLOYMENT" group:"Run"`
 	Duration   time.Duration `help:"Length of the run." default:"60s" env:"POMELOWAY_DURATION" group:"Run"`
 	Seed       uint64        `help:"Seed of the callers' choices." default:"1" env:"POMELOWAY_SEED" group:"Run"`
-	Callers    int           `help:"How many callers there are." default:"100" env:"POMELOWAY_CALLERS" group:"Run"`
+	Callers    int           `help:"Number of callers." default:"100" env:"POMELOWAY_CALLERS" group:"Run"`
 	Report     string        `help:"File for the JSON report, - for standard output." placeholder:"FILE" env:"POMELOWAY_REPORT" group:"Output"`
-	Sabotage   guard.Name    `help:"Guard to switch off, to see that the report shows it: drain, journal, slots, token or zone." placeholder:"NAME" env:"POMELOWAY_SABOTAGE" group:"Run"`
-	Log        string        `help:"File for the log lines of every part." placeholder:"FILE" env:"POMELOWAY_LOG" group:"Output"`
+	Sabotage   guard.Name    `help:"Guard to switch off, to check that the report shows its absence: drain, journal, slots, token or zone." placeholder:"NAME" env:"POMELOWAY_SABOTAGE" group:"Run"`
+	Log        string        `help:"File for the log lines of all processes." placeholder:"FILE" env:"POMELOWAY_LOG" group:"Output"`
 }
 
-// Bounds of the settings.
+// Limits of the settings.
 const (
 	minDuration = 10 * time.Second
 	maxCallers  = 5000
 )
 
-// sabotages are the guards whose absence the report of a run of the default
-// length shows; the others' is shown by tests of single packages.
+// sabotages are the guards that --sabotage accepts. A run of the default length
+// reports a violated invariant without any of these; the other guards are
+// covered by tests of single packages.
 var sabotages = []guard.Name{guard.Drain, guard.Journal, guard.Slots, guard.Token, guard.Zone}
 
-// Validate returns all that is wrong with the settings.
+// Validate returns all invalid settings as one error.
 func (o *Options) Validate() error {
 	var f settings.Faults
 	_, ok := Deployments[o.Deployment]
--- a/demo/overload_test.go
+++ b/demo/overload_test.go
@@ -14,32 +14,36 @@
 	"pomeloway.example/pomeloway/guard"
 )
 
-// Twenty-five times the callers that the service has slots for. It must go on answering as
-// many as at its capacity, refuse the others at once and truthfully, and not be
-// driven up by its own retries.
+// Guards against a collapse under overload: 100 callers send orders to a service
+// with four slots. It must answer as many as at its capacity, refuse the others at
+// once with a correct outcome, and not be overloaded further by its own retries.
 func TestOverloadKeepsGoodput(t *testing.T) {
-	// Four slots and 32 places in queues: a hundred callers can't all fit.
+	// Four slots and queues for 32 requests cannot take a hundred callers.
 	d := Deployment{Name: "small", Zones: Deployments["agency"].Zones, Balancers: 3, Services: []ServiceSize{{Name: "web", Upstreams: 2, Slots: 2, Connections: 2000}}}
 	s, rec := startDeployment(t, d, guard.Off{})
 	warmUp(t, s, rec)
-	// How much is answered is a speed, and only shown; docs/MEASURES.md has it.
+	// The rates depend on the machine, so they are only logged; docs/MEASURES.md
+	// lists them.
 	at := goodput(t, s, 4, 2*time.Second)
 	over := goodput(t, s, 100, 4*time.Second)
-	t.Logf("answered a second: at capacity %.0f, far above %.0f; slowest refusal %v", at.rate, over.rate, over.slowest)
+	t.Logf("answers per second: at capacity %.0f, overloaded %.0f; slowest refusal %v", at.rate, over.rate, over.slowest)
 	if over.refused == 0 {
-		t.Error("nobody was refused: that was no overload")
+		t.Error("no request was refused, so the service was not overloaded")
 	}
 	if over.refusedRun > 0 {
-		t.Errorf("%d refusals were false", over.refusedRun)
+		t.Errorf("%d requests were refused as not run, but ran", over.refusedRun)
 	}
 }
 
+// warmUp runs callers for three seconds so that the upstreams become warm.
 func warmUp(t *testing.T, s *Site, rec *recorder) {
 	ctx, stop := context.WithTimeout(t.Context(), 3*time.Second)
 	defer stop()
 	runCallers(ctx, s, rec, 60/scale, 9)
 }
 
+// load is the result of one call of goodput. Its rate is in answers per second;
+// refusedRun counts the refused orders that ran.
 type load struct {
 	rate       float64
 	refused    int
@@ -47,7 +51,8 @@
 	slowest    time.Duration
 }
 
-// goodput has callers order without a pause and returns what came of it.
+// goodput runs callers that send orders without a pause, and waits only after
+// refusals as long as the agent asks.
 func goodput(t *testing.T, s *Site, callers int, d time.Duration) load {
 	t.Helper()
 	var mu sync.Mutex
@@ -67,7 +72,7 @@
 				id, start := fmt.Sprintf("load-%d-%d-%d", callers, i, n), time.Now()
 				r, err := f.do(context.Background(), http.MethodPost, "/order?caller=x", []byte(id), "")
 				if err != nil {
-					// quic-go refuses flows that its full queue can't take.
+					// quic-go refuses flows while its accept queue is full.
 					if !strings.Contains(err.Error(), "CONNECTION_REFUSED") {
 						t.Error(err)
 					}
--- a/demo/progress.go
+++ b/demo/progress.go
@@ -11,8 +11,8 @@
 	"pomeloway.example/pomeloway/clock"
 )
 
-// progress shows how a run goes on: one line that is redrawn on a terminal, a
-// line for each step elsewhere.
+// progress prints the progress of a run: a line for each step and, on a terminal,
+// a status line that is redrawn.
 type progress struct {
 	w     io.Writer
 	live  bool
@@ -23,7 +23,7 @@
 }
 
 func newProgress(w io.Writer, rec *recorder, total time.Duration) *progress {
-	p := &progress{w: w, rec: rec, start: time.Now(), total: total, last: "everything runs"}
+	p := &progress{w: w, rec: rec, start: time.Now(), total: total, last: "all processes are running"}
 	if f, ok := w.(*os.File); ok {
 		i, err := f.Stat()
 		p.live = err == nil && i.Mode()&os.ModeCharDevice != 0
@@ -31,9 +31,10 @@
 	return p
 }
 
+// redraw is the interval at which the status line is redrawn.
 const redraw = 200 * time.Millisecond
 
-// say tells what happens now.
+// say prints a step of the run.
 func (p *progress) say(text string) {
 	p.rec.mu.Lock()
 	p.last = text
@@ -41,6 +42,8 @@
 	fmt.Fprintf(p.w, "%s%5.1fs  %s\n", p.clear(), time.Since(p.start).Seconds(), text)
 }
 
+// clear returns the control sequence that clears the status line, if there is
+// one.
 func (p *progress) clear() string {
 	if p.live {
 		return "\r\x1b[K"
@@ -48,17 +51,19 @@
 	return ""
 }
 
-// run redraws until the run ends.
+// run redraws the status line until the context ends.
 func (p *progress) run(ctx context.Context) {
 	for p.live && ctx.Err() == nil {
 		clock.Sleep(ctx, redraw)
 		p.draw()
 	}
-	fmt.Fprintf(p.w, "%s%5.1fs  callers end what they began\n", p.clear(), time.Since(p.start).Seconds())
+	fmt.Fprintf(p.w, "%s%5.1fs  callers finish their last requests and feeds\n", p.clear(), time.Since(p.start).Seconds())
 }
 
+// barWidth is the width of the progress bar in characters.
 const barWidth = 24
 
+// draw prints the status line.
 func (p *progress) draw() {
 	p.rec.mu.Lock()
 	r, last := p.rec.r, p.last
--- a/demo/race_on_test.go
+++ b/demo/race_on_test.go
@@ -2,6 +2,6 @@
 
 package demo
 
-// The race detector slows a whole site in one process about tenfold, so a
-// scenario has a third of the callers under it.
+// scale divides the number of callers in a test. The race detector slows a whole
+// site in one process down about tenfold, so tests run a third of the callers.
 const scale = 3
--- a/demo/report.go
+++ b/demo/report.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Report is what callers and upstreams measured. Nothing in it is taken from
-// what balancers or agents believe.
+// Report holds the measurements of callers, upstreams and the platform. None of
+// them comes from the state of balancers or agents.
 type Report struct {
 	Deployment            string             `json:"deployment"`
 	Seconds               float64            `json:"seconds"`
@@ -50,16 +50,18 @@
 	Causes                map[string]int     `json:"causes,omitempty"`
 }
 
-// Second is what came of the requests that ended in one second of a zone's move.
+// Second sums up the requests that ended in one second of a zone's move, which
+// lasts from the command to take the zone out until shortly after its return.
 type Second struct {
-	// Second counts from the operator's command to take the zone out.
+	// Second is the number of whole seconds since the operator's command to take
+	// the zone out.
 	Second        int     `json:"second"`
 	Asked         int     `json:"asked"`
 	AnsweredShare float64 `json:"answeredShare"`
 	P99Seconds    float64 `json:"p99Seconds"`
 }
 
-// Limits that an invariant of the report is held to.
+// Limits of the invariants, in seconds but for flowsFailedMost.
 const (
 	zoneOutLimit    = 5.0
 	inForceLimit    = 19.0
@@ -67,7 +69,7 @@
 	flowsFailedMost = 0
 )
 
-// judge lists the invariants that the run broke.
+// judge sets Broken to the invariants that the run violated.
 func (r *Report) judge() {
 	r.Broken = []string{}
 	add := func(broken bool, text string, v any) {
@@ -96,17 +98,20 @@
 	return e.Encode(r)
 }
 
-// recorder collects what callers see.
+// recorder collects the measurements of the callers.
 type recorder struct {
-	mu     sync.Mutex
-	r      Report
-	took   []sample
-	flows  map[string]map[string]int // open flows by service and upstream
+	mu    sync.Mutex
+	r     Report
+	took  []sample
+	flows map[string]map[string]int // open flows by service and agent
+	// shares holds, by service, the samples of the largest flow count of an
+	// upstream over the mean.
 	shares map[string][]float64
+	// causes counts failures by their error text.
 	causes map[string]int
 }
 
-// sample is one finished request.
+// sample records one finished request.
 type sample struct {
 	at       time.Time
 	took     time.Duration
@@ -117,20 +122,21 @@
 	return &recorder{flows: map[string]map[string]int{}, shares: map[string][]float64{}, causes: map[string]int{}}
 }
 
-// do changes the report under the lock.
+// do calls f on the report while holding the lock.
 func (r *recorder) do(f func(*Report)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.r)
 }
 
+// cause counts a failure under its text.
 func (r *recorder) cause(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.causes[text]++
 }
 
-// request notes a request's end.
+// request records a finished request.
 func (r *recorder) request(took time.Duration, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,7 +146,7 @@
 	}
 }
 
-// flow counts the open flows that callers found at an upstream.
+// flow adds n to the number of open flows at an agent of the service.
 func (r *recorder) flow(service, up string, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,10 +158,12 @@
 	m[up] += n
 }
 
-// minFlows is how many flows for each upstream make a share worth sampling.
+// minFlows is the mean number of flows per upstream below which shares are not
+// sampled.
 const minFlows = 4
 
-// sampleShares notes the busiest upstream over the mean, among those given.
+// sampleShares records, for each service, the largest number of flows at one of
+// the given agents over the mean.
 func (r *recorder) sampleShares(ups map[string][]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,7 +179,8 @@
 	}
 }
 
-// report returns the finished report.
+// report returns the report of all requests so far. The move lasts from the first
+// time until the second.
 func (r *recorder) report(from, to time.Time) Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -199,7 +208,7 @@
 	return out
 }
 
-// window sums up the requests that ended from the one time until the other.
+// window sums up the requests that ended at or after from and before to.
 func window(took []sample, from, to time.Time) Second {
 	var w Second
 	var answered []time.Duration
@@ -219,6 +228,8 @@
 	return w
 }
 
+// quantile returns the q-quantile of the durations in seconds, or 0 if there are
+// none. It sorts d.
 func quantile(d []time.Duration, q float64) float64 {
 	if len(d) == 0 {
 		return 0
--- a/demo/report_test.go
+++ b/demo/report_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// An average over a zone's whole move hides the one second in which nobody is
-// answered. Each second must show by itself, and what is outside must not count.
+// Guards against an average over a zone's whole move, which hides a single second
+// without answers. The report must list each second, and must leave out requests
+// that ended before or after the move.
 func TestEachSecondOfTheMoveShowsByItself(t *testing.T) {
 	from := time.Now()
 	r := newRecorder()
@@ -24,6 +25,6 @@
 	got := r.report(from, from.Add(3*time.Second))
 	want := []Second{{0, 2, 1, 0.01}, {1, 2, 0.5, 0.01}, {2, 1, 1, 0.01}}
 	if !slices.Equal(got.MoveSeconds, want) || got.MoveAnsweredShare != 0.8 {
-		t.Errorf("%+v, in all %v", got.MoveSeconds, got.MoveAnsweredShare)
+		t.Errorf("seconds of the move %+v, answered share %v", got.MoveSeconds, got.MoveAnsweredShare)
 	}
 }
--- a/demo/request_bench_test.go
+++ b/demo/request_bench_test.go
@@ -16,7 +16,7 @@
 	"pomeloway.example/pomeloway/guard"
 )
 
-// benchSite starts a site of one service whose upstreams are warm.
+// benchSite starts a site with one service and warm upstreams.
 func benchSite(b *testing.B, z ServiceSize) *Site {
 	b.Helper()
 	d := Deployment{Name: "bench", Zones: Deployments["agency"].Zones, Balancers: 3, Services: []ServiceSize{z}}
@@ -25,7 +25,7 @@
 	return s
 }
 
-// warm orders until no upstream is cold and every agent knows it.
+// warm sends requests until no upstream is cold and every agent knows it.
 func warm(b *testing.B, s *Site) {
 	b.Helper()
 	ctx, stop := context.WithTimeout(b.Context(), startTimeout)
@@ -45,10 +45,11 @@
 	}
 	w.Wait()
 	if !isWarm(s) {
-		b.Fatal("the upstreams did not become warm")
+		b.Fatal("the upstreams are still cold at the start timeout")
 	}
 }
 
+// isWarm reports whether all upstreams and their agents use all slots.
 func isWarm(s *Site) bool {
 	for _, u := range s.Units() {
 		if u.Cold() || u.agent.Counts().Load.Slots < u.Slots {
@@ -58,8 +59,8 @@
 	return true
 }
 
-// work has callers make requests one after another for the time, and returns how
-// long each took.
+// work calls each function repeatedly and concurrently with the others for the
+// duration d, and returns how long each call took.
 func work(b *testing.B, d time.Duration, ask []func(context.Context) error) []time.Duration {
 	b.Helper()
 	ctx, stop := context.WithTimeout(b.Context(), d)
@@ -82,9 +83,10 @@
 	return slices.Concat(took...)
 }
 
-// BenchmarkRequests has the same callers ask upstreams that answer at once,
-// first directly over HTTP/1.1, then through fabric, balancer and agent over
-// HTTP/3, turn by turn in one run. All ends share the machine's processors.
+// BenchmarkRequests compares the latency of upstreams that answer at once when
+// callers reach them directly over HTTP/1.1, and through fabric, balancer and
+// agent over HTTP/3. The two alternate within one run. All programs share the
+// machine's processors.
 func BenchmarkRequests(b *testing.B) {
 	for _, callers := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
@@ -107,6 +109,7 @@
 	}
 }
 
+// directCallers returns functions that request the screen from an upstream.
 func directCallers(b *testing.B, s *Site, n int) (out []func(context.Context) error) {
 	units := s.Units()
 	tr := &http.Transport{MaxIdleConnsPerHost: n}
@@ -130,6 +133,7 @@
 	return out
 }
 
+// throughCallers returns functions that request the screen on a flow each.
 func throughCallers(b *testing.B, s *Site, n int) (out []func(context.Context) error) {
 	for range n {
 		f, err := openFlow(b.Context(), s, newRecorder(), 0)
@@ -148,8 +152,8 @@
 	return out
 }
 
-// BenchmarkSlots has more callers than slots and shows the share of slots that
-// upstreams work on, as the upstreams count it.
+// BenchmarkSlots runs twice as many callers as slots and reports the share of
+// slots in use, as counted by the upstreams.
 func BenchmarkSlots(b *testing.B) {
 	const upstreams, slots = 6, 5
 	s := benchSite(b, ServiceSize{Name: "web", Upstreams: upstreams, Slots: slots, Connections: 2000})
@@ -172,8 +176,9 @@
 	b.ReportMetric(busy/(turn.Seconds()*float64(b.N)*upstreams*slots), "busy")
 }
 
-// BenchmarkUpload sends 1 GiB through an agent and shows the most heap that the
-// program had, callers, balancers and upstream included, over that before it.
+// BenchmarkUpload sends 1 GiB through an agent and reports the size of the heap
+// before and its maximum during the upload. The heap includes callers, balancers
+// and the upstream.
 func BenchmarkUpload(b *testing.B) {
 	s := benchSite(b, ServiceSize{Name: "web", Upstreams: 1, Slots: 4, Connections: 100})
 	f, err := openFlow(b.Context(), s, newRecorder(), 0)
@@ -200,12 +205,14 @@
 	b.ReportMetric(float64(most)/(1<<20), "most-MiB")
 }
 
+// heap returns the bytes in use on the heap.
 func heap() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapInuse
 }
 
+// upload sends size bytes and requires status 200.
 func upload(b *testing.B, f *flow, size int) {
 	b.Helper()
 	a := post(b.Context(), b, f, "/upload?caller=x", size)
--- a/demo/scenario_test.go
+++ b/demo/scenario_test.go
@@ -23,8 +23,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// size returns a scenario's size: small in CI, what the variable asks for in a
-// measurement.
+// size returns the size of a scenario from the environment variable, or small if
+// it is not set, as in CI.
 func size(t *testing.T, variable string, small int) int {
 	t.Helper()
 	n, err := strconv.Atoi(cmp.Or(os.Getenv(variable), strconv.Itoa(small)))
@@ -34,11 +34,14 @@
 	return n
 }
 
+// startSite starts the named deployment.
 func startSite(t *testing.T, name string, off guard.Off) (*Site, *recorder) {
 	t.Helper()
 	return startDeployment(t, Deployments[name], off)
 }
 
+// startDeployment starts a site that is closed at the end of the test. It logs to
+// the file in POMELOWAY_TEST_LOG, if set.
 func startDeployment(t testing.TB, d Deployment, off guard.Off) (*Site, *recorder) {
 	t.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -63,7 +66,8 @@
 	return s, newRecorder()
 }
 
-// holdFeeds opens feeds that all end after the lines, and waits for them.
+// holdFeeds opens feeds of the given number of lines and waits until all have
+// ended.
 func holdFeeds(t *testing.T, s *Site, rec *recorder, count, lines int, every time.Duration) {
 	var w sync.WaitGroup
 	ports := sharedPorts(t, (count+sharePort-1)/sharePort)
@@ -82,10 +86,12 @@
 	w.Wait()
 }
 
-// sharePort is how many callers share a port: ten thousand with one each, and as
-// many of the fabric's, are more files than a process may open.
+// sharePort is the number of callers that share a port. Ten thousand callers with
+// a port each need as many ports of the fabric, which exceeds the number of files
+// that a process may open.
 const sharePort = 4
 
+// sharedPorts opens transports that several flows can use.
 func sharedPorts(t *testing.T, count int) []*quic.Transport {
 	t.Helper()
 	var out []*quic.Transport
@@ -101,13 +107,14 @@
 	return out
 }
 
-// openEvery spreads openings as people come to their screens.
+// openEvery is the interval at which callers open their feeds.
 const openEvery = time.Millisecond
 
-// Each second one balancer dies without a word and another joins; the fabric
-// goes on spraying to the dead for two seconds, and views arrive up to five
-// seconds apart. Teachers' screens only listen: they send nothing that would
-// teach an agent another way back. A feed that stops is an empty board.
+// Guards against feeds that break while balancers come and go. Each second one
+// balancer crashes and another joins; the fabric sends datagrams to the crashed
+// one for two more seconds, and views arrive up to five seconds apart. Callers
+// that only read a feed send nothing from which an agent could learn another
+// return path.
 func TestFeedsSurviveBalancersComingAndGoing(t *testing.T) {
 	flows, seconds := size(t, "POMELOWAY_FLOWS", 60/scale), size(t, "POMELOWAY_SECONDS", 6)
 	s, rec := startSite(t, "agency", guard.Off{})
@@ -126,7 +133,7 @@
 	}
 }
 
-// churn kills one balancer and starts another each second.
+// churn starts a balancer and kills the oldest one each second.
 func churn(ctx context.Context, t *testing.T, s *Site) {
 	for n := 0; ctx.Err() == nil; n++ {
 		b, err := s.AddBalancer(bundle.ZoneID(n%3 + 1))
--- a/demo/script.go
+++ b/demo/script.go
@@ -10,15 +10,16 @@
 	"pomeloway.example/pomeloway/standin"
 )
 
-// step is one thing that happens to the site.
+// step is one fault or change that the script applies to the site.
 type step struct {
-	// at is the share of the run after which it happens.
+	// at is the time of the step as a fraction of the run.
 	at   float64
 	text string
 	do   func(context.Context) error
 }
 
-// script is what happens during a run.
+// script applies faults and changes to a site during a run, and records their
+// times.
 type script struct {
 	s   *Site
 	rec *recorder
@@ -30,30 +31,33 @@
 }
 
 const (
-	// staleFabric is how long the fabric sprays to a balancer that died.
+	// staleFabric is how long the fabric sends datagrams to a balancer after its
+	// death.
 	staleFabric = 2 * time.Second
-	moveTail    = 2 * time.Second
+	// moveTail is how long the move of a zone lasts after the zone's return.
+	moveTail = 2 * time.Second
 )
 
+// steps returns the steps in the order of their times.
 func (x *script) steps() []step {
 	return []step{
-		{0.08, "a balancer dies", x.killBalancer},
+		{0.08, "a balancer crashes", x.killBalancer},
 		{0.16, "a balancer joins", x.joinBalancer},
 		{0.22, "an upstream drains", x.drain},
 		{0.30, "its replacement joins cold", x.replace},
 		{0.36, "an upstream turns cold without warning", x.turnCold},
-		{0.40, "answers cross", x.cross},
+		{0.40, "upstreams swap answers", x.cross},
 		{0.44, "the platform goes down", x.platformDown},
 		{0.46, "a balancer joins while it is down", x.joinBalancer},
-		{0.54, "the platform comes back", x.platformUp},
-		{0.58, "an operator's answer is lost", x.acceptLost},
-		{0.64, "an availability zone goes out", x.zoneOut},
-		{0.80, "it comes back", x.zoneIn},
+		{0.54, "the platform recovers", x.platformUp},
+		{0.58, "the answer to an operator is lost", x.acceptLost},
+		{0.64, "an availability zone is taken out", x.zoneOut},
+		{0.80, "the availability zone returns", x.zoneIn},
 		{0.90, "a balancer stops gracefully", x.stopBalancer},
 	}
 }
 
-// run runs the steps at their times.
+// run applies each step at its time in a run of length d.
 func (x *script) run(ctx context.Context, d time.Duration) error {
 	start := time.Now()
 	for _, p := range x.steps() {
@@ -138,8 +142,8 @@
 	return nil
 }
 
-// acceptLost accepts a bundle while the answer to the write is lost, and
-// measures until it is in force everywhere.
+// acceptLost accepts a bundle while the platform loses the answers to the next two
+// writes, and measures the time until the bundle is in force in every process.
 func (x *script) acceptLost(ctx context.Context) error {
 	cur, err := x.s.Desk.Current(ctx)
 	if err != nil {
@@ -153,6 +157,8 @@
 	return x.inForce(ctx, cur.Version+1, start)
 }
 
+// inForce waits until the version is in force and records the time since start if
+// it is the longest so far.
 func (x *script) inForce(ctx context.Context, v bundle.Version, start time.Time) error {
 	if err := x.s.InForce(ctx, v); err != nil {
 		return err
@@ -162,7 +168,7 @@
 	return nil
 }
 
-// outZone is the zone that goes out.
+// outZone is the zone that zoneOut takes out.
 const outZone = bundle.ZoneID(2)
 
 func (x *script) zoneOut(ctx context.Context) error {
@@ -176,8 +182,8 @@
 	return x.inForce(ctx, a.Version, x.outAt)
 }
 
-// measureOut notes when the zone's upstreams last did anything for a caller. It
-// looks before the zone returns.
+// measureOut records how long after zoneOut the zone's upstreams still started
+// work or sent a line of a feed. It must run before the zone returns.
 func (x *script) measureOut() {
 	var last time.Time
 	for _, u := range x.s.Units() {
--- a/demo/silence_test.go
+++ b/demo/silence_test.go
@@ -9,8 +9,8 @@
 	"pomeloway.example/pomeloway/guard"
 )
 
-// startFeed opens a flow with a feed of so many lines, ten a second; the channel
-// gets how it ended.
+// startFeed opens a flow and reads a feed of the given number of lines, ten per
+// second. The channel receives the result of the feed.
 func startFeed(t *testing.T, s *Site, rec *recorder, lines int) (*flow, <-chan error) {
 	t.Helper()
 	f, err := openFlow(t.Context(), s, rec, 0)
@@ -23,7 +23,8 @@
 	return f, done
 }
 
-// silence drops what the caller sends, what comes back to it, or both.
+// silence makes the fabric drop the datagrams from the flow's caller, those
+// towards it, or both.
 func silence(t *testing.T, f *flow, in, out bool) {
 	t.Helper()
 	from := f.socket.LocalAddr().(*net.UDPAddr).AddrPort()
@@ -32,9 +33,9 @@
 	}
 }
 
-// Something between caller and fabric forgets the flow: datagrams vanish in both
-// directions, for good, while new flows work. The teacher's screen goes on by
-// moving the flow to a new port, and the agent must follow.
+// Guards against a feed that breaks when the network between caller and fabric
+// drops all datagrams of its flow, in one or both directions, while new flows
+// work. The caller migrates the flow to a new port, and the agent must follow.
 func TestSilentPathIsLeftByMigration(t *testing.T) {
 	for name, x := range map[string]struct{ in, out bool }{"both ways": {true, true}, "towards the caller": {false, true}, "from the caller": {true, false}} {
 		t.Run(name, func(t *testing.T) {
@@ -53,9 +54,9 @@
 	}
 }
 
-// The same, but the caller can't move. Both ends must find out within ten
-// seconds and let go: the caller to open a new flow, the agent to free what the
-// flow held.
+// Guards against flows that stay open on a silent path when the caller can't
+// migrate. Both ends must close the flow within ten seconds: the caller to open a
+// new one, the agent to free its resources.
 func TestSilentPathIsFoundInSeconds(t *testing.T) {
 	s, rec := startSite(t, "agency", guard.Off{})
 	f, done := startFeed(t, s, rec, 1000)
@@ -63,11 +64,11 @@
 	silence(t, f, true, true)
 	start := time.Now()
 	if err := <-done; err == nil {
-		t.Error("a feed that was cut ended as whole")
+		t.Error("the feed on a silent path ended without an error")
 	}
 	limit, stop := context.WithTimeout(t.Context(), 10*time.Second-time.Since(start))
 	defer stop()
 	if poll(limit, func() bool { return s.feeds() == 0 && s.flows() == 0 }) != nil {
-		t.Errorf("after 10 s: %d feeds at upstreams, %d flows at agents", s.feeds(), s.flows())
+		t.Errorf("still open after 10 s: %d feeds at upstreams, %d flows at agents", s.feeds(), s.flows())
 	}
 }
--- a/demo/site.go
+++ b/demo/site.go
@@ -26,7 +26,7 @@
 	"pomeloway.example/pomeloway/standin"
 )
 
-// Site is a running site.
+// Site is a site that runs in this process.
 type Site struct {
 	Deployment Deployment
 	Platform   *standin.Platform
@@ -34,7 +34,8 @@
 	Ledger     *standin.Ledger
 	Desk       *operator.Desk
 
-	// Lag makes the views of the processes that start later arrive unevenly.
+	// Lag returns a random delay for the views that a process receives. It
+	// applies to processes started after it is set; nil means no delay.
 	Lag func() time.Duration
 
 	health  string
@@ -59,7 +60,7 @@
 	wait      sync.WaitGroup
 }
 
-// entry is a running balancer.
+// entry is a balancer with its address and zone.
 type entry struct {
 	*balancer.Balancer
 	host netip.Addr
@@ -68,7 +69,7 @@
 	done chan struct{}
 }
 
-// unit is an upstream with its agent.
+// unit is an upstream with its agent, as they run on one VM.
 type unit struct {
 	*standin.Upstream
 	agent   *agent.Agent
@@ -81,8 +82,9 @@
 	gone    atomic.Bool
 }
 
-// Hosts of a site below 127.net.index: the fabric has the last, the others are
-// given out from the first.
+// Hosts of a site in the network 127.net.index.0/24, and the ports of a process.
+// The fabric has a fixed host; balancers and upstreams get ascending hosts after
+// firstHost.
 const (
 	fabricHost = 250
 	firstHost  = 1
@@ -91,14 +93,16 @@
 	pagePort   = 7003
 )
 
+// sites counts the sites that this process has created.
 var sites atomic.Uint32
 
-// NewSite prepares a site; nothing runs yet but the platform and the fabric.
+// NewSite returns a site on which only the platform and the fabric run.
 func NewSite(d Deployment, l *slog.Logger, off guard.Off) (*Site, error) {
 	s := &Site{
 		Deployment: d, Platform: &standin.Platform{}, Fabric: standin.NewFabric(), Ledger: &standin.Ledger{},
 		log: l, off: off, health: "/healthz", key: keyring.NewSecret(1), host: firstHost,
-		// Sites of several programs on one machine keep apart by their number.
+		// The process ID and the site's number keep sites on one machine on
+		// different networks.
 		net: byte(10 + os.Getpid()%240), index: byte(sites.Add(1)),
 	}
 	key, v, err := bundle.NewOperator()
@@ -121,6 +125,7 @@
 	return s, nil
 }
 
+// startPlatform serves the platform stand-in over HTTP.
 func (s *Site) startPlatform() error {
 	l, err := net.Listen("tcp", netip.AddrPortFrom(s.addr(fabricHost), 0).String())
 	if err != nil {
@@ -132,8 +137,10 @@
 	return nil
 }
 
+// addr returns the address of a host of the site.
 func (s *Site) addr(host byte) netip.Addr { return netip.AddrFrom4([4]byte{127, s.net, s.index, host}) }
 
+// newHost returns the next unused address of the site.
 func (s *Site) newHost() netip.Addr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,12 +148,13 @@
 	return s.addr(s.host)
 }
 
-// ServiceAddress returns where callers reach the i-th service.
+// ServiceAddress returns the address at which callers reach the i-th service.
 func (s *Site) ServiceAddress(i int) netip.AddrPort {
 	return netip.AddrPortFrom(s.addr(fabricHost), servicePort(i))
 }
 
-// Start accepts the first bundle and starts everything.
+// Start accepts the first bundle, starts all balancers and upstreams of the
+// deployment, and waits until the site is ready.
 func (s *Site) Start(ctx context.Context) error {
 	if err := s.acceptText(ctx, s.Deployment.Text(s.addr(fabricHost), s.key)); err != nil {
 		return err
@@ -169,6 +177,7 @@
 	return s.WaitReady(ctx)
 }
 
+// acceptText signs the bundle text and makes it the accepted bundle.
 func (s *Site) acceptText(ctx context.Context, text []byte) error {
 	b, err := s.Desk.Sign(ctx, text, "demo", s.sign)
 	if err != nil {
@@ -178,6 +187,7 @@
 	return err
 }
 
+// options returns the options of a process on the host in the zone.
 func (s *Site) options(h netip.Addr, z bundle.ZoneID) process.Options {
 	return process.Options{
 		Zone: z, Link: netip.AddrPortFrom(h, linkPort), Peer: netip.AddrPortFrom(h, peerPort),
@@ -186,7 +196,7 @@
 	}
 }
 
-// seeds returns the peer addresses of some balancers.
+// seeds returns the peer addresses of the running balancers.
 func (s *Site) seeds() []netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +207,8 @@
 	return out
 }
 
-// AddBalancer starts a balancer in the zone and tells the fabric.
+// AddBalancer starts a balancer in the zone. It receives no datagrams of callers
+// before the next SyncFabric.
 func (s *Site) AddBalancer(z bundle.ZoneID) (*entry, error) {
 	h := s.newHost()
 	b, err := balancer.New(balancer.Options{Options: s.options(h, z), Bind: h}, s.log, s.off)
@@ -213,20 +224,21 @@
 	return e, nil
 }
 
-// begin runs a program until it ends, which closes done; the function that it
-// returns asks it to stop gracefully.
+// begin runs a program in the background and closes done when it returns. The
+// returned function stops the program gracefully.
 func (s *Site) begin(name string, run func(context.Context) error, done chan struct{}) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	s.wait.Go(func() {
 		defer close(done)
 		if err := run(ctx); err != nil {
-			s.log.Error(name+" ended", "error", err)
+			s.log.Error(name+" stopped with an error", "error", err)
 		}
 	})
 	return stop
 }
 
-// SyncFabric makes the fabric spray over the balancers that say they are ready.
+// SyncFabric makes the fabric distribute datagrams over the balancers that report
+// to be ready, and over the extra ones.
 func (s *Site) SyncFabric(extra ...*entry) {
 	s.mu.Lock()
 	var live []*entry
@@ -245,7 +257,7 @@
 	}
 }
 
-// Kill ends a balancer as a crash would.
+// Kill stops a balancer without a graceful shutdown, as a crash does.
 func (s *Site) Kill(e *entry) {
 	s.removeBalancer(e)
 	e.Kill()
@@ -284,14 +296,14 @@
 	return append([]*entry(nil), s.balancers...)
 }
 
-// all returns every upstream that ever ran.
+// all returns all upstreams that were started, including stopped ones.
 func (s *Site) all() []*unit {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*unit(nil), s.ever...)
 }
 
-// unitOf returns the running unit of the agent.
+// unitOf returns the running unit of the agent, or nil.
 func (s *Site) unitOf(agent string) *unit {
 	for _, u := range s.Units() {
 		if string(u.agent.Node.Self().ID) == agent {
@@ -301,7 +313,7 @@
 	return nil
 }
 
-// feeds returns the feeds open at upstreams, flows the flows open at agents.
+// feeds returns the number of feeds that are open at the running upstreams.
 func (s *Site) feeds() (n int64) {
 	for _, u := range s.Units() {
 		n += u.Feeds.Load()
@@ -309,6 +321,7 @@
 	return n
 }
 
+// flows returns the number of flows that are open at the running agents.
 func (s *Site) flows() (n int) {
 	for _, u := range s.Units() {
 		n += u.agent.Counts().Flows
@@ -316,7 +329,8 @@
 	return n
 }
 
-// markOut notes that operators took the zone out; its flows are given up.
+// markOut records that operators have taken the zone out of service, so that the
+// end of its flows is expected.
 func (s *Site) markOut(z bundle.ZoneID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -326,19 +340,21 @@
 	s.out[z] = true
 }
 
-// clearOut notes that the zone is back.
+// clearOut records that the zone is in service again.
 func (s *Site) clearOut(z bundle.ZoneID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.out, z)
 }
 
+// wasOut reports whether the zone is out of service.
 func (s *Site) wasOut(z bundle.ZoneID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.out[z]
 }
 
+// anyOut reports whether any zone is out of service.
 func (s *Site) anyOut() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -355,10 +371,11 @@
 	return false
 }
 
-// readyPoll is how often waiting for the site looks again.
+// readyPoll is the interval at which poll checks its condition.
 const readyPoll = 20 * time.Millisecond
 
-// InForce waits until the version is in force in every process.
+// InForce waits until every process has accepted the bundle version or a later
+// one.
 func (s *Site) InForce(ctx context.Context, v bundle.Version) error {
 	return poll(ctx, func() bool {
 		for _, b := range s.Balancers() {
@@ -375,7 +392,8 @@
 	})
 }
 
-// WaitReady waits until every balancer is ready and knows every agent.
+// WaitReady waits until every balancer is ready and knows every agent, then
+// updates the fabric.
 func (s *Site) WaitReady(ctx context.Context) error {
 	return poll(ctx, func() bool {
 		n := len(s.Units())
@@ -396,6 +414,7 @@
 	})
 }
 
+// poll waits until the condition holds or the context ends.
 func poll(ctx context.Context, ok func() bool) error {
 	t := time.NewTicker(readyPoll)
 	defer t.Stop()
@@ -409,7 +428,7 @@
 	return nil
 }
 
-// Close ends everything at once.
+// Close stops all processes of the site without a graceful shutdown.
 func (s *Site) Close() {
 	for _, u := range s.Units() {
 		s.KillUnit(u)
--- a/demo/unit.go
+++ b/demo/unit.go
@@ -17,6 +17,8 @@
 	return s.startUnit(i, z, s.newHost())
 }
 
+// startUnit starts a cold upstream of the i-th service with its agent at the
+// address.
 func (s *Site) startUnit(i int, z bundle.ZoneID, h netip.Addr) (*unit, error) {
 	d := s.Deployment.Services[i]
 	u := &unit{
@@ -40,9 +42,10 @@
 	return u, s.startAgent(u)
 }
 
-// upstreamWork is how long a warm upstream works on a request.
+// upstreamWork is the time that a warm upstream takes for a request by default.
 const upstreamWork = 20 * time.Millisecond
 
+// startAgent starts the agent of the unit and adds the unit to the running ones.
 func (s *Site) startAgent(u *unit) error {
 	a, err := agent.New(u.opts, s.log, s.off)
 	if err != nil {
@@ -65,7 +68,8 @@
 	u.server.Close()
 }
 
-// KillUnit ends an upstream and its agent as the loss of a VM would.
+// KillUnit stops an upstream and its agent without a graceful shutdown, as the
+// loss of their VM does.
 func (s *Site) KillUnit(u *unit) {
 	s.removeUnit(u)
 	u.gone.Store(true)
--- a/demo/witness.go
+++ b/demo/witness.go
@@ -9,21 +9,22 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// shortBody is the longest request whose time to answer says something about the
-// upstream, in bytes.
+// shortBody is the largest request body, in bytes, for which the response time
+// reflects the state of the upstream rather than the upload.
 const shortBody = 64 << 10
 
-// witness is an agent's way to its upstream. It tells the stand-in what the agent has
-// heard, so that the agent is judged by what it could know.
+// witness is the transport from an agent to its upstream. It reports each response
+// that the agent has received to the upstream stand-in, so that only requests
+// which the agent sent despite a known cold start count as its errors.
 type witness struct {
 	http.RoundTripper
 	up *standin.Upstream
 }
 
-// RoundTrip passes the request on with the moment at which it left.
+// RoundTrip sends the request with a header that holds the time of sending.
 func (w witness) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.Header.Get(upstream.HeaderRequest) == "" {
-		return w.RoundTripper.RoundTrip(r) // a look at its health
+		return w.RoundTripper.RoundTrip(r) // a health check
 	}
 	sent := time.Now()
 	r = r.Clone(r.Context())
