--- a/demo/bench_test.go
+++ b/demo/bench_test.go
@@ -11,8 +11,8 @@
 	"pomeloway.example/pomeloway/guard"
 )
 
-// echoed is the number of bytes that one echo request sends.
-const echoed = 64 << 20
+// echoSize is the number of bytes that one echo request sends.
+const echoSize = 64 << 20
 
 // pattern generates a body of a given size that can be verified without storing
 // it.
@@ -43,7 +43,7 @@
 				b.Fatal(err)
 			}
 			defer f.close()
-			b.SetBytes(2 * echoed)
+			b.SetBytes(2 * echoSize)
 			for b.Loop() {
 				echo(b, f)
 			}
@@ -54,7 +54,7 @@
 // post sends size bytes and returns the answer.
 func post(ctx context.Context, b *testing.B, f *flow, path string, size int) *http.Response {
 	b.Helper()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+callerName+path, &pattern{left: size})
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+serverName+path, &pattern{left: size})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -69,12 +69,12 @@
 func echo(b *testing.B, f *flow) {
 	ctx, stop := context.WithTimeout(b.Context(), 2*time.Minute)
 	defer stop()
-	a := post(ctx, b, f, "/echo", echoed)
+	a := post(ctx, b, f, "/echo", echoSize)
 	defer a.Body.Close()
 	want, got := sha256.New(), sha256.New()
-	io.Copy(want, &pattern{left: echoed})
+	io.Copy(want, &pattern{left: echoSize})
 	n, err := io.Copy(got, a.Body)
-	if err != nil || n != echoed || string(want.Sum(nil)) != string(got.Sum(nil)) {
+	if err != nil || n != echoSize || string(want.Sum(nil)) != string(got.Sum(nil)) {
 		b.Fatalf("echo returned %d bytes, or wrong ones: %v", n, err)
 	}
 }
--- a/demo/callers.go
+++ b/demo/callers.go
@@ -23,30 +23,30 @@
 // Behaviour of callers. Think times, feed lengths and upload sizes are random
 // within these limits.
 const (
-	thinkMost     = 60 * time.Millisecond
-	feedLinesMost = 60
-	feedLinesMin  = 20
-	feedEvery     = 100 * time.Millisecond
-	uploadMost    = 512 << 10
-	flowRequests  = 40
-	orderTries    = 6
-	reopenAfter   = 100 * time.Millisecond
-	// loseAnswers is the number of answered orders, of ten, that a caller sends
-	// again as if the answer had been lost.
-	loseAnswers = 2
+	maxThinkTime     = 60 * time.Millisecond
+	maxFeedLines     = 60
+	minFeedLines     = 20
+	feedInterval     = 100 * time.Millisecond
+	maxUpload        = 512 << 10
+	requestsPerFlow  = 40
+	maxOrderAttempts = 6
+	retryDelay       = 100 * time.Millisecond
+	// orderRepeatsPerTen is the average number of answered orders, of ten, that a
+	// caller sends again as if the answer had been lost.
+	orderRepeatsPerTen = 2
 )
 
 // caller simulates one user of a service.
 type caller struct {
-	s       *Site
-	rec     *recorder
-	rand    *rand.Rand
-	name    string
-	service int
-	n       int
-	// shared is a transport that several callers use; nil means that each flow
-	// gets a port of its own.
-	shared *quic.Transport
+	s          *Site
+	rec        *recorder
+	rand       *rand.Rand
+	name       string
+	service    int // index in Deployment.Services
+	orderCount int
+	// sharedTransport is a transport that several callers use; nil means that each
+	// flow gets a port of its own.
+	sharedTransport *quic.Transport
 }
 
 // runCallers runs callers until the context ends; each finishes the request or
@@ -55,12 +55,12 @@
 	var w sync.WaitGroup
 	for i := range count {
 		c := &caller{s: s, rec: rec, rand: rand.New(rand.NewPCG(seed, uint64(i))), name: fmt.Sprintf("caller-%d", i)}
-		f := c.orders
+		f := c.runOrders
 		switch {
 		case i%4 == 3:
-			c.service, f = uploadService(s.Deployment), c.uploads
+			c.service, f = uploadService(s.Deployment), c.runUploads
 		case i%4 != 0:
-			f = c.feeds
+			f = c.runFeeds
 		}
 		w.Go(func() { f(ctx) })
 	}
@@ -87,43 +87,43 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		c.openFailed(err)
-		clock.Sleep(ctx, reopenAfter)
+		c.countOpenFailure(err)
+		clock.Sleep(ctx, retryDelay)
 	}
 	return nil
 }
 
 func (c *caller) openOnce(ctx context.Context) (*flow, error) {
-	if c.shared != nil {
-		return openShared(ctx, c.s, c.rec, c.service, c.shared)
+	if c.sharedTransport != nil {
+		return openShared(ctx, c.s, c.rec, c.service, c.sharedTransport)
 	}
 	return openFlow(ctx, c.s, c.rec, c.service)
 }
 
-// openFailed counts a flow that could not be opened.
-func (c *caller) openFailed(err error) {
+// countOpenFailure counts a flow that could not be opened.
+func (c *caller) countOpenFailure(err error) {
 	var app *quic.ApplicationError
-	if errors.As(err, &app) || wasReset(err) && c.s.anyOut() {
+	if errors.As(err, &app) || wasReset(err) && c.s.isAnyZoneOut() {
 		return // the flow was opened, then closed with a reason
 	}
 	var t *quic.TransportError
 	if errors.As(err, &t) && t.ErrorCode == quic.ConnectionRefused {
-		c.rec.do(func(r *Report) { r.FlowsRefused++ })
+		c.rec.update(func(r *Report) { r.FlowsRefused++ })
 		return
 	}
-	c.rec.cause("open: " + err.Error())
-	c.rec.do(func(r *Report) { r.FlowsFailedToOpen++ })
+	c.rec.addCause("open: " + err.Error())
+	c.rec.update(func(r *Report) { r.FlowsFailedToOpen++ })
 }
 
 // think waits for a random time, as a user does between two requests.
 func (c *caller) think(ctx context.Context) {
-	clock.Sleep(ctx, time.Duration(c.rand.Int64N(int64(thinkMost))))
+	clock.Sleep(ctx, time.Duration(c.rand.Int64N(int64(maxThinkTime))))
 }
 
-// each opens one flow after another until the context ends, and calls use on each
-// flow up to the given number of times. It closes the flow early when use returns
-// false.
-func (c *caller) each(ctx context.Context, uses int, use func(*flow) bool) {
+// useFlows opens one flow after another until the context ends. It calls use on
+// each flow up to the given number of times, and closes the flow early when use
+// returns false.
+func (c *caller) useFlows(ctx context.Context, uses int, use func(*flow) bool) {
 	for ctx.Err() == nil {
 		f := c.open(ctx)
 		if f == nil {
@@ -136,69 +136,70 @@
 	}
 }
 
-// feeds reads one feed after another, as a class or a trading desk does.
-func (c *caller) feeds(ctx context.Context) {
-	c.each(ctx, 3, func(f *flow) bool {
+// runFeeds reads one feed after another, as a class or a trading desk does.
+func (c *caller) runFeeds(ctx context.Context) {
+	c.useFlows(ctx, 3, func(f *flow) bool {
 		// A started feed is read to its end, even after the end of the run.
-		lines := feedLinesMin + c.rand.IntN(feedLinesMost-feedLinesMin)
-		return c.feed(context.Background(), f, lines, feedEvery)
+		lines := minFeedLines + c.rand.IntN(maxFeedLines-minFeedLines)
+		return c.readFeed(context.Background(), f, lines, feedInterval)
 	})
 }
 
-// feed reads one feed and retries while it is refused. It reports whether the
+// readFeed reads one feed and retries while it is refused. It reports whether the
 // flow is still usable.
-func (c *caller) feed(ctx context.Context, f *flow, lines int, every time.Duration) bool {
+func (c *caller) readFeed(ctx context.Context, f *flow, lines int, every time.Duration) bool {
 	for {
 		err := f.feed(ctx, c.name, lines, every)
 		if !errors.Is(err, errFeedRefused) {
-			return c.went(ctx, f, err, "feed")
+			return c.handleError(ctx, f, err, "feed")
 		}
 		clock.Sleep(ctx, time.Duration(c.rand.Int64N(int64(time.Second))))
 	}
 }
 
-// went counts the error, if any, and reports whether the flow is still usable.
-func (c *caller) went(ctx context.Context, f *flow, err error, what string) bool {
+// handleError counts the error, if any, and reports whether the flow is still
+// usable.
+func (c *caller) handleError(ctx context.Context, f *flow, err error, what string) bool {
 	if err != nil {
-		f.note(f.classify(ctx, err), err, what)
+		f.countFailure(f.classify(ctx, err), err, what)
 	}
 	return err == nil
 }
 
-// orders requests the screen and places orders, in random order.
-func (c *caller) orders(ctx context.Context) {
-	c.each(ctx, flowRequests, func(f *flow) bool {
+// runOrders requests the screen and places orders, in random order.
+func (c *caller) runOrders(ctx context.Context) {
+	c.useFlows(ctx, requestsPerFlow, func(f *flow) bool {
 		if c.rand.IntN(2) == 0 {
-			return c.screen(f)
+			return c.requestScreen(f)
 		}
-		return c.order(f)
+		return c.placeOrder(f)
 	})
 }
 
-// screen requests the screen and reports whether the flow is still usable.
-func (c *caller) screen(f *flow) bool {
+// requestScreen requests the screen and reports whether the flow is still usable.
+func (c *caller) requestScreen(f *flow) bool {
 	start := time.Now()
 	r, err := f.do(context.Background(), http.MethodGet, "/screen?caller="+c.name, nil, "")
-	c.finish(r, err, start, func(p standin.Reply) bool { return p.Caller == c.name })
-	return c.went(context.Background(), f, err, "screen")
+	c.countAnswer(r, err, start, func(p standin.Reply) bool { return p.Caller == c.name })
+	return c.handleError(context.Background(), f, err, "screen")
 }
 
-// finish counts a request by its result, and counts a wrong answer if right
-// rejects the body.
-func (c *caller) finish(r *result, err error, start time.Time, right func(standin.Reply) bool) {
+// countAnswer counts a request by its result. It counts a wrong answer if
+// isCorrect rejects the body.
+func (c *caller) countAnswer(r *result, err error, start time.Time, isCorrect func(standin.Reply) bool) {
 	switch {
 	case err != nil:
-		c.rec.request(time.Since(start), false)
+		c.rec.addRequest(time.Since(start), false)
 	case r.status == http.StatusOK:
 		var p standin.Reply
-		wrong := json.Unmarshal(r.body, &p) != nil || p.Service != string(c.s.Deployment.Services[c.service].Name) || !right(p)
-		c.rec.request(time.Since(start), true)
+		wrong := json.Unmarshal(r.body, &p) != nil || p.Service != string(c.s.Deployment.Services[c.service].Name) || !isCorrect(p)
+		c.rec.addRequest(time.Since(start), true)
 		if wrong {
-			c.rec.do(func(r *Report) { r.RequestsWrong++ })
+			c.rec.update(func(r *Report) { r.RequestsWrong++ })
 		}
 	default:
-		c.rec.request(time.Since(start), false)
-		c.rec.do(func(x *Report) {
+		c.rec.addRequest(time.Since(start), false)
+		c.rec.update(func(x *Report) {
 			if r.outcome == agent.OutcomeNotRun {
 				x.RequestsRefused++
 			} else {
@@ -206,33 +207,33 @@
 			}
 		})
 		if r.outcome != agent.OutcomeNotRun {
-			c.rec.cause(fmt.Sprintf("unknown: %s", r.body))
+			c.rec.addCause(fmt.Sprintf("unknown: %s", r.body))
 		}
 	}
 }
 
-// order places one order with an idempotency key. It retries with the same key
+// placeOrder places one order with an idempotency key. It retries with the same key
 // while the outcome is unknown, and repeats some answered orders. It reports
 // whether the flow is still usable.
-func (c *caller) order(f *flow) bool {
-	c.n++
-	id := fmt.Sprintf("%s-%d", c.name, c.n)
+func (c *caller) placeOrder(f *flow) bool {
+	c.orderCount++
+	id := fmt.Sprintf("%s-%d", c.name, c.orderCount)
 	ctx := context.Background()
-	key, err := c.key(ctx, f)
+	key, err := c.requestKey(ctx, f)
 	if err != nil || key == "" {
-		return c.went(ctx, f, err, "key") && err == nil
+		return c.handleError(ctx, f, err, "key") && err == nil
 	}
 	start := time.Now()
-	ok, usable := c.place(ctx, f, id, key)
-	if ok && c.rand.IntN(10) < loseAnswers {
-		c.again(ctx, id, key)
+	ok, usable := c.sendOrder(ctx, f, id, key)
+	if ok && c.rand.IntN(10) < orderRepeatsPerTen {
+		c.repeatOrder(ctx, id, key)
 	}
-	c.rec.request(time.Since(start), ok)
+	c.rec.addRequest(time.Since(start), ok)
 	return usable
 }
 
-// key requests an idempotency key from the agent.
-func (c *caller) key(ctx context.Context, f *flow) (string, error) {
+// requestKey requests an idempotency key from the agent.
+func (c *caller) requestKey(ctx context.Context, f *flow) (string, error) {
 	r, err := f.do(ctx, http.MethodPost, agent.PathKey, nil, "")
 	if err != nil || r.status != http.StatusOK {
 		return "", err
@@ -241,58 +242,58 @@
 	return k.Key, eris.Wrap(json.Unmarshal(r.body, &k), "key")
 }
 
-// place sends the order up to orderTries times until it is answered, on a new flow
-// if the flow fails. It reports whether the order was answered and whether f is
-// still usable.
-func (c *caller) place(ctx context.Context, f *flow, id, key string) (ok, usable bool) {
-	own := f
+// sendOrder sends the order up to maxOrderAttempts times until it is answered, and
+// opens a new flow when a flow fails. It reports whether the order was answered and
+// whether f is still usable.
+func (c *caller) sendOrder(ctx context.Context, f *flow, id, key string) (ok, usable bool) {
+	original := f
 	defer func() {
-		if f != own {
+		if f != original {
 			f.close()
 		}
 	}()
-	for try := 0; try < orderTries; try++ {
+	for try := 0; try < maxOrderAttempts; try++ {
 		r, err := f.do(ctx, http.MethodPost, "/order?caller="+c.name, []byte(id), key)
 		switch {
 		case err != nil:
-			c.went(ctx, f, err, "order")
-			if f != own {
+			c.handleError(ctx, f, err, "order")
+			if f != original {
 				f.close()
 			}
 			if f = c.open(ctx); f == nil {
 				return false, false
 			}
 		case r.status == http.StatusOK:
-			return c.checkOrder(r, id), f == own
+			return c.checkOrder(r, id), f == original
 		case r.outcome == agent.OutcomeNotRun:
-			c.rec.do(func(x *Report) {
+			c.rec.update(func(x *Report) {
 				x.RequestsRefused++
 				if c.s.Ledger.Runs(id) > 0 {
 					x.RefusedButRun++
 				}
 			})
-			clock.Sleep(ctx, r.retry/4)
+			clock.Sleep(ctx, r.retryAfter/4)
 		default:
-			c.rec.do(func(x *Report) { x.RequestsUnknown++ })
-			c.rec.cause(fmt.Sprintf("order unknown: %s", r.body))
-			clock.Sleep(ctx, reopenAfter)
+			c.rec.update(func(x *Report) { x.RequestsUnknown++ })
+			c.rec.addCause(fmt.Sprintf("order unknown: %s", r.body))
+			clock.Sleep(ctx, retryDelay)
 		}
 	}
-	return false, f == own
+	return false, f == original
 }
 
 // checkOrder counts the answer to an order as wrong if it belongs to another one.
 func (c *caller) checkOrder(r *result, id string) bool {
 	var p standin.Reply
 	if json.Unmarshal(r.body, &p) != nil || p.Order != id || p.Caller != c.name {
-		c.rec.do(func(r *Report) { r.RequestsWrong++ })
+		c.rec.update(func(r *Report) { r.RequestsWrong++ })
 	}
 	return true
 }
 
-// again sends an answered order on a new flow. The agent must repeat the stored
-// answer and not run the order a second time.
-func (c *caller) again(ctx context.Context, id, key string) {
+// repeatOrder sends an answered order again on a new flow. The agent must repeat the
+// stored answer and not run the order a second time.
+func (c *caller) repeatOrder(ctx context.Context, id, key string) {
 	f := c.open(ctx)
 	if f == nil {
 		return
@@ -300,31 +301,31 @@
 	defer f.close()
 	r, err := f.do(ctx, http.MethodPost, "/order?caller="+c.name, []byte(id), key)
 	if err != nil {
-		c.went(ctx, f, err, "order again")
+		c.handleError(ctx, f, err, "order again")
 		return
 	}
-	c.rec.do(func(x *Report) { x.OrdersRepeated++ })
+	c.rec.update(func(x *Report) { x.OrdersRepeated++ })
 	if r.status == http.StatusOK {
 		c.checkOrder(r, id)
 	} else if r.outcome == agent.OutcomeNotRun {
 		// The order has run, so the outcome "not run" is false.
-		c.rec.do(func(x *Report) { x.RefusedButRun++ })
+		c.rec.update(func(x *Report) { x.RefusedButRun++ })
 	}
 }
 
-// uploads uploads random bodies and checks the hash in each answer.
-func (c *caller) uploads(ctx context.Context) {
-	c.each(ctx, 5, func(f *flow) bool {
-		b := make([]byte, 1+c.rand.IntN(uploadMost))
+// runUploads uploads random bodies and checks the hash in each answer.
+func (c *caller) runUploads(ctx context.Context) {
+	c.useFlows(ctx, 5, func(f *flow) bool {
+		b := make([]byte, 1+c.rand.IntN(maxUpload))
 		for i := range b {
 			b[i] = byte(c.rand.Uint32())
 		}
 		sum := sha256.Sum256(b)
 		start := time.Now()
 		r, err := f.do(context.Background(), http.MethodPost, "/upload?caller="+c.name, b, "")
-		c.finish(r, err, start, func(p standin.Reply) bool {
+		c.countAnswer(r, err, start, func(p standin.Reply) bool {
 			return p.Caller == c.name && p.SHA256 == hex.EncodeToString(sum[:])
 		})
-		return c.went(context.Background(), f, err, "upload")
+		return c.handleError(context.Background(), f, err, "upload")
 	})
 }
--- a/demo/certificate.go
+++ b/demo/certificate.go
@@ -13,9 +13,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// callerName is the host name in the certificate of the agents, which callers
+// serverName is the host name in the certificate of the agents, which callers
 // verify.
-const callerName = "pomeloway.demo"
+const serverName = "pomeloway.demo"
 
 // selfSigned returns TLS settings with a new self-signed certificate for agents,
 // and TLS settings for callers that trust it.
@@ -25,7 +25,7 @@
 		return nil, nil, eris.Wrap(err, "certificate")
 	}
 	t := &x509.Certificate{
-		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: callerName}, DNSNames: []string{callerName},
+		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: serverName}, DNSNames: []string{serverName},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(24 * time.Hour), IsCA: true, BasicConstraintsValid: true,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, k.Public(), k)
@@ -39,5 +39,5 @@
 	roots := x509.NewCertPool()
 	roots.AddCert(c)
 	serve = &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: k}}}
-	return serve, &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: roots, ServerName: callerName, NextProtos: []string{"h3"}}, nil
+	return serve, &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: roots, ServerName: serverName, NextProtos: []string{"h3"}}, nil
 }
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -42,7 +42,7 @@
 	}
 	rec := newRecorder()
 	p := newProgress(progress, rec, o.Duration)
-	rep, err := play(ctx, s, rec, p, o)
+	rep, err := runScenario(ctx, s, rec, p, o)
 	if err != nil {
 		return err
 	}
@@ -55,13 +55,13 @@
 	return nil
 }
 
-// play runs the callers and the script concurrently, and returns the report
-// with its violated invariants.
-func play(ctx context.Context, s *Site, rec *recorder, p *progress, o Options) (*Report, error) {
+// runScenario runs the callers and the script concurrently, and returns the
+// report with the invariants that were violated.
+func runScenario(ctx context.Context, s *Site, rec *recorder, p *progress, o Options) (*Report, error) {
 	began := time.Now()
 	run, stop := context.WithTimeout(ctx, o.Duration)
 	defer stop()
-	x := &script{s: s, rec: rec, log: p.say}
+	x := &script{s: s, rec: rec, log: p.printStep}
 	var w sync.WaitGroup
 	var failed error
 	w.Go(func() { runCallers(run, s, rec, o.Callers, o.Seed) })
@@ -72,41 +72,42 @@
 	if failed != nil {
 		return nil, failed
 	}
-	r := rec.report(x.moveFrom, x.moveTo)
+	r := rec.finish(x.moveFrom, x.moveTo)
 	r.Deployment, r.Seed, r.Sabotage, r.Seconds = o.Deployment, o.Seed, string(o.Sabotage), time.Since(began).Seconds()
-	s.measure(&r, x)
-	r.judge()
+	s.addCounters(&r, x)
+	r.checkInvariants()
 	return &r, nil
 }
 
-// sampleEvery is the interval at which the callers' open flows are counted per
-// upstream.
-const sampleEvery = 500 * time.Millisecond
+// shareSampleInterval is the interval at which the callers' open flows are counted
+// per upstream.
+const shareSampleInterval = 500 * time.Millisecond
 
 // watchShares periodically samples how the open flows are distributed over the
 // upstreams that accept new flows.
 func (s *Site) watchShares(ctx context.Context, rec *recorder) {
 	for ctx.Err() == nil {
-		clock.Sleep(ctx, sampleEvery)
-		rec.sampleShares(s.takers())
+		clock.Sleep(ctx, shareSampleInterval)
+		rec.sampleShares(s.acceptingAgents())
 	}
 }
 
-// takers returns the IDs of the agents that accept new flows, by service.
-func (s *Site) takers() map[string][]string {
+// acceptingAgents returns the IDs of the agents that accept new flows, by service.
+func (s *Site) acceptingAgents() map[string][]string {
 	out := map[string][]string{}
 	for _, u := range s.Units() {
-		if !s.wasOut(u.zone) {
+		if !s.isZoneOut(u.zone) {
 			out[u.Service] = append(out[u.Service], string(u.agent.Node.Self().ID))
 		}
 	}
 	return out
 }
 
-// measure adds the counters of the upstreams and of the platform to the report.
-func (s *Site) measure(r *Report, x *script) {
+// addCounters adds the counters of the upstreams and of the platform to the
+// report.
+func (s *Site) addCounters(r *Report, x *script) {
 	r.RunTwice = s.Ledger.Twice()
-	for _, u := range s.all() {
+	for _, u := range s.startedUpstreams() {
 		r.Misrouted += int(u.Misrouted.Load())
 		r.OverSlots += int(u.OverSlots.Load())
 		r.OverCold += int(u.OverWarned.Load())
@@ -116,8 +117,8 @@
 		}
 	}
 	if x.drained != nil {
-		if t := time.Unix(0, x.drained.LastWork.Load()); t.After(x.leftAt) {
-			r.NewWorkAfterLeaving = t.Sub(x.leftAt).Seconds()
+		if t := time.Unix(0, x.drained.LastWork.Load()); t.After(x.drainedAt) {
+			r.NewWorkAfterLeaving = t.Sub(x.drainedAt).Seconds()
 		}
 	}
 	c := s.Platform.Counts()
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -34,7 +34,7 @@
 	// Protocol is the protocol between agents and upstreams; empty means HTTP/1.1.
 	Protocol upstream.Protocol
 	// Work is the time that a warm upstream takes for a request; zero means
-	// upstreamWork.
+	// defaultWork.
 	Work time.Duration
 }
 
@@ -63,8 +63,8 @@
 	coldAnswers = 5
 )
 
-// bundleText is the template of a deployment's first bundle.
-var bundleText = template.Must(template.New("bundle").Parse(`# Site of {{.Name}}.
+// bundleTemplate is the template of a deployment's first bundle.
+var bundleTemplate = template.Must(template.New("bundle").Parse(`# Site of {{.Name}}.
 services:
 {{- range $i, $s := .Services}}
   - id: {{$s.ID}}
@@ -90,8 +90,8 @@
 currentKey: {{.Key.ID}}
 `))
 
-// queueShare is the length of an upstream's queue per slot.
-const queueShare = 8
+// queuePerSlot is the length of an upstream's queue per slot.
+const queuePerSlot = 8
 
 // Text returns the text of the deployment's first bundle, with the addresses of
 // all services on the host.
@@ -109,13 +109,13 @@
 		ColdSlots, ColdAnswers int
 	}{Name: d.Name, Key: key, ColdSlots: coldSlots, ColdAnswers: coldAnswers}
 	for i, s := range d.Services {
-		v.Services = append(v.Services, service{i + 1, s.Slots, s.Connections, s.Slots * queueShare, s.Name, netip.AddrPortFrom(host, servicePort(i))})
+		v.Services = append(v.Services, service{i + 1, s.Slots, s.Connections, s.Slots * queuePerSlot, s.Name, netip.AddrPortFrom(host, servicePort(i))})
 	}
 	for i, z := range d.Zones {
 		v.Zones = append(v.Zones, bundle.Zone{ID: bundle.ZoneID(i + 1), Name: z})
 	}
 	var b bytes.Buffer
-	if err := bundleText.Execute(&b, v); err != nil {
+	if err := bundleTemplate.Execute(&b, v); err != nil {
 		panic(fmt.Sprintf("bundle template: %v", err))
 	}
 	return b.Bytes()
--- a/demo/faults_test.go
+++ b/demo/faults_test.go
@@ -16,26 +16,26 @@
 	"pomeloway.example/pomeloway/standin"
 )
 
-// during runs callers while f applies faults to the site, and returns the report.
-func during(t *testing.T, s *Site, rec *recorder, callers int, f func(ctx context.Context)) *Report {
+// runDuring runs callers while f applies faults to the site, and returns the report.
+func runDuring(t *testing.T, s *Site, rec *recorder, callers int, f func(ctx context.Context)) *Report {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	var w sync.WaitGroup
-	w.Go(func() { runCallers(ctx, s, rec, callers/scale, 1) })
+	w.Go(func() { runCallers(ctx, s, rec, callers/callerDivisor, 1) })
 	time.Sleep(time.Second)
 	f(ctx)
 	stop()
 	w.Wait()
-	r := rec.report(time.Time{}, time.Time{})
-	s.measure(&r, &script{})
-	r.judge()
+	r := rec.finish(time.Time{}, time.Time{})
+	s.addCounters(&r, &script{})
+	r.checkInvariants()
 	t.Logf("flows %d, broken %d, given up %d, answered %d, refused %d, unknown %d, causes %v",
 		r.FlowsOpened, r.BrokenFlows, r.FlowsGivenUpWithZone, r.RequestsAnswered, r.RequestsRefused, r.RequestsUnknown, r.Causes)
 	return &r
 }
 
-// mustHold fails the test for each violated invariant.
-func mustHold(t *testing.T, r *Report) {
+// requireInvariants fails the test for each violated invariant.
+func requireInvariants(t *testing.T, r *Report) {
 	t.Helper()
 	for _, b := range r.Broken {
 		t.Error(b)
@@ -50,12 +50,12 @@
 	for _, name := range []string{"agency", "saltbush"} {
 		t.Run(name, func(t *testing.T) {
 			s, rec := startSite(t, name, guard.Off{})
-			var left []*unit
+			var drained []*upstreamVM
 			var at []time.Time
-			r := during(t, s, rec, 40, func(ctx context.Context) {
+			r := runDuring(t, s, rec, 40, func(ctx context.Context) {
 				for i := range 2 {
 					u := s.Units()[0]
-					left, at = append(left, u), append(at, time.Now())
+					drained, at = append(drained, u), append(at, time.Now())
 					if i == 1 {
 						u.Drain(true) // the upstream reports it before its agent is stopped
 						time.Sleep(1500 * time.Millisecond)
@@ -66,8 +66,8 @@
 				}
 				time.Sleep(4 * time.Second)
 			})
-			mustHold(t, r)
-			for i, u := range left {
+			requireInvariants(t, r)
+			for i, u := range drained {
 				if d := time.Unix(0, u.LastWork.Load()).Sub(at[i]); d > 3*time.Second {
 					t.Errorf("draining upstream %d got new work after %v", i, d)
 				}
@@ -85,7 +85,7 @@
 // more requests than it can handle.
 func TestUnwarnedColdStart(t *testing.T) {
 	s, rec := startSite(t, "saltbush", guard.Off{})
-	r := during(t, s, rec, 60, func(ctx context.Context) {
+	r := runDuring(t, s, rec, 60, func(ctx context.Context) {
 		for range 2 {
 			for _, u := range s.Units()[:2] {
 				u.TurnCold()
@@ -93,7 +93,7 @@
 			time.Sleep(2500 * time.Millisecond)
 		}
 	})
-	mustHold(t, r)
+	requireInvariants(t, r)
 	t.Logf("%d requests exceeded the cold capacity before the agents could know of it", r.OverColdUnwarned)
 }
 
@@ -105,21 +105,21 @@
 	s, rec := startSite(t, "saltbush", guard.Off{})
 	s.Platform.Set(standin.Faults{Delay: 200 * time.Millisecond})
 	var last time.Duration
-	r := during(t, s, rec, 60, func(ctx context.Context) {
+	r := runDuring(t, s, rec, 60, func(ctx context.Context) {
 		x := &script{s: s, rec: rec}
-		deaf := flowInZone(ctx, t, s, outZone)
-		defer deaf.close()
-		silence(t, deaf, false, true)
+		muted := openFlowInZone(ctx, t, s, outZone)
+		defer muted.close()
+		dropDatagrams(t, muted, false, true)
 		if err := x.zoneOut(ctx); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2500 * time.Millisecond)
-		silence(t, deaf, false, false)
-		mustBeReset(t, deaf)
-		time.Sleep(time.Until(x.outAt.Add(3 * time.Second)))
+		dropDatagrams(t, muted, false, false)
+		requireReset(t, muted)
+		time.Sleep(time.Until(x.zoneOutAt.Add(3 * time.Second)))
 		for _, u := range s.Units() {
 			if u.zone == outZone {
-				last = max(last, time.Unix(0, max(u.LastWork.Load(), u.LastSent.Load())).Sub(x.outAt))
+				last = max(last, time.Unix(0, max(u.LastWork.Load(), u.LastSent.Load())).Sub(x.zoneOutAt))
 			}
 		}
 		if err := x.zoneIn(ctx); err != nil {
@@ -127,7 +127,7 @@
 		}
 		time.Sleep(2 * time.Second)
 	})
-	mustHold(t, r)
+	requireInvariants(t, r)
 	t.Logf("last work in the zone %v after it was taken out", last)
 	if last > 3*time.Second {
 		t.Errorf("the zone was still served %v after it was taken out", last)
@@ -137,8 +137,8 @@
 	}
 }
 
-// flowInZone opens flows until one reaches an agent in the zone.
-func flowInZone(ctx context.Context, t *testing.T, s *Site, z bundle.ZoneID) *flow {
+// openFlowInZone opens flows until one reaches an agent in the zone.
+func openFlowInZone(ctx context.Context, t *testing.T, s *Site, z bundle.ZoneID) *flow {
 	t.Helper()
 	for range 200 {
 		f, err := openFlow(ctx, s, newRecorder(), 0)
@@ -154,16 +154,16 @@
 	return nil
 }
 
-// mustBeReset waits until the flow ends and fails the test unless a stateless
+// requireReset waits until the flow ends and fails the test unless a stateless
 // reset ended it. The only datagram that closed the flow was lost, and the agent
 // sends no other. The balancers must reset the flow at the caller's next datagram;
 // otherwise the caller gets no data until its idle timeout.
-func mustBeReset(t *testing.T, f *flow) {
+func requireReset(t *testing.T, f *flow) {
 	t.Helper()
 	start := time.Now()
 	select {
 	case <-f.conn.Context().Done():
-	case <-time.After(callerIdle + time.Second):
+	case <-time.After(callerIdleTimeout + time.Second):
 		t.Fatal("the flow is still open after the idle timeout")
 	}
 	if err := context.Cause(f.conn.Context()); !wasReset(err) {
@@ -178,7 +178,7 @@
 // the platform a burst of calls.
 func TestNewbornsServeWhileThePlatformIsDown(t *testing.T) {
 	s, rec := startSite(t, "agency", guard.Off{})
-	r := during(t, s, rec, 40, func(ctx context.Context) {
+	r := runDuring(t, s, rec, 40, func(ctx context.Context) {
 		s.Platform.Set(standin.Faults{Outage: true})
 		time.Sleep(500 * time.Millisecond)
 		b, err := s.AddBalancer(1)
@@ -192,7 +192,7 @@
 		limit, stop := context.WithTimeout(ctx, 20*time.Second)
 		defer stop()
 		// Open flows one after another until one reaches the new agent.
-		if poll(limit, func() bool { return b.Status().Ready && opensAt(ctx, s, u) }) != nil {
+		if poll(limit, func() bool { return b.Status().Ready && servesNewFlow(ctx, s, u) }) != nil {
 			t.Errorf("new balancer ready: %t; no flow reached the new agent", b.Status().Ready)
 		}
 		s.SyncFabric()
@@ -204,13 +204,13 @@
 			t.Errorf("%d calls to the platform in the 3 s after the outage, from %d processes", n, len(s.Units())+len(s.Balancers()))
 		}
 	})
-	mustHold(t, r)
+	requireInvariants(t, r)
 }
 
-// opensAt opens a flow and reports whether it reached the unit's agent and got an
-// answer there.
-func opensAt(ctx context.Context, s *Site, u *unit) bool {
-	f := flowAt(ctx, s, u)
+// servesNewFlow opens a flow and reports whether it reached the agent of u and got
+// an answer there.
+func servesNewFlow(ctx context.Context, s *Site, u *upstreamVM) bool {
+	f := openFlowAt(ctx, s, u)
 	if f == nil {
 		return false
 	}
@@ -219,13 +219,13 @@
 	return err == nil && r.status == http.StatusOK
 }
 
-// flowAt opens a flow and returns it if it reached the unit's agent, else nil.
-func flowAt(ctx context.Context, s *Site, u *unit) *flow {
+// openFlowAt opens a flow and returns it if it reached the agent of u, else nil.
+func openFlowAt(ctx context.Context, s *Site, u *upstreamVM) *flow {
 	f, err := openFlow(ctx, s, newRecorder(), u.service)
 	if err != nil {
 		return nil
 	}
-	if at := f.at.Load(); at == nil || *at != string(u.agent.Node.Self().ID) {
+	if agentID := f.agentID.Load(); agentID == nil || *agentID != string(u.agent.Node.Self().ID) {
 		f.close()
 		return nil
 	}
@@ -239,7 +239,7 @@
 func TestNextLifeTakesNothingOfTheOld(t *testing.T) {
 	s, rec := startSite(t, "agency", guard.Off{})
 	var f *flow
-	for f == nil || f.at.Load() == nil {
+	for f == nil || f.agentID.Load() == nil {
 		var err error
 		if f, err = openFlow(t.Context(), s, rec, 0); err != nil {
 			t.Fatal(err)
@@ -248,16 +248,16 @@
 		f.do(t.Context(), http.MethodGet, "/screen?caller=x", nil, "")
 	}
 	c := &caller{s: s, rec: rec, rand: rand.New(rand.NewPCG(1, 1)), name: "buyer"}
-	key, err := c.key(t.Context(), f)
+	key, err := c.requestKey(t.Context(), f)
 	if err != nil || key == "" {
 		t.Fatalf("request for a key: %q, %v", key, err)
 	}
 	if r, err := f.do(t.Context(), http.MethodPost, "/order?caller=buyer", []byte("oats"), key); err != nil || r.status != http.StatusOK {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	old := s.unitOf(*f.at.Load())
+	old := s.upstreamOf(*f.agentID.Load())
 	s.KillUnit(old)
-	if _, err := s.startUnit(old.service, old.zone, old.opts.Link.Addr()); err != nil {
+	if _, err := s.startUpstream(old.service, old.zone, old.opts.Link.Addr()); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
@@ -266,14 +266,14 @@
 	} else if d := time.Since(start); d > 5*time.Second {
 		t.Errorf("the request failed only after %v: %v", d, err)
 	}
-	r := askAgain(t, s, rec, key)
+	r := sendOrderAgain(t, s, rec, key)
 	if r.outcome != agent.OutcomeUnknown || s.Ledger.Runs("oats") != 1 {
 		t.Errorf("status %d, outcome %q, runs %d: %s", r.status, r.outcome, s.Ledger.Runs("oats"), r.body)
 	}
 }
 
-// askAgain sends the order "oats" again on a new flow.
-func askAgain(t *testing.T, s *Site, rec *recorder, key string) *result {
+// sendOrderAgain sends the order "oats" again on a new flow.
+func sendOrderAgain(t *testing.T, s *Site, rec *recorder, key string) *result {
 	t.Helper()
 	f, err := openFlow(t.Context(), s, rec, 0)
 	if err != nil {
@@ -294,31 +294,31 @@
 		guard.Journal: func(r *Report) bool { return r.RunTwice > 0 },
 		guard.Slots:   func(r *Report) bool { return r.OverSlots+r.OverCold > 0 },
 		guard.Token:   func(r *Report) bool { return r.BrokenFlows+r.FlowsFailedToOpen > 0 },
-		guard.Drain:   func(r *Report) bool { return r.NewWorkAfterLeaving > newWorkLimit || r.BrokenFlows > 0 },
-		guard.Zone:    func(r *Report) bool { return r.ZoneOutSeconds > zoneOutLimit },
+		guard.Drain:   func(r *Report) bool { return r.NewWorkAfterLeaving > maxNewWorkSeconds || r.BrokenFlows > 0 },
+		guard.Zone:    func(r *Report) bool { return r.ZoneOutSeconds > maxZoneOutSeconds },
 	} {
 		t.Run(string(name), func(t *testing.T) {
 			s, rec := startSite(t, "agency", guard.Without(name))
 			var x *script
-			r := during(t, s, rec, 40, func(ctx context.Context) {
+			r := runDuring(t, s, rec, 40, func(ctx context.Context) {
 				x = &script{s: s, rec: rec}
 				if name == guard.Drain {
-					workAfterDrain(ctx, t, s, x)
+					requestAfterDrain(ctx, t, s, x)
 				} else {
 					x.drain(ctx)
 					time.Sleep(4 * time.Second)
 				}
 				if name == guard.Zone {
-					f := flowInZone(ctx, t, s, outZone)
+					f := openFlowInZone(ctx, t, s, outZone)
 					defer f.close()
-					go askOn(ctx, f)
+					go requestRepeatedly(ctx, f)
 					x.zoneOut(ctx)
-					time.Sleep(time.Duration(zoneOutLimit+1) * time.Second)
-					x.measureOut()
+					time.Sleep(time.Duration(maxZoneOutSeconds+1) * time.Second)
+					x.measureZoneOut()
 				}
 			})
-			rep := rec.report(time.Time{}, time.Time{})
-			s.measure(&rep, x)
+			rep := rec.finish(time.Time{}, time.Time{})
+			s.addCounters(&rep, x)
 			if !shows(&rep) {
 				t.Errorf("the report does not show the missing guard: %+v", r)
 			}
@@ -326,24 +326,24 @@
 	}
 }
 
-// askOn sends one request after another on a flow, so that its upstream always has
-// work.
-func askOn(ctx context.Context, f *flow) {
+// requestRepeatedly sends one request after another on a flow, so that its upstream
+// always has work.
+func requestRepeatedly(ctx context.Context, f *flow) {
 	for ctx.Err() == nil {
 		if _, err := f.do(ctx, http.MethodGet, "/screen?caller=x", nil, ""); err != nil {
 			return
 		}
-		clock.Sleep(ctx, thinkMost)
+		clock.Sleep(ctx, maxThinkTime)
 	}
 }
 
-// workAfterDrain drains an upstream and sends it a request on an existing flow
+// requestAfterDrain drains an upstream and sends it a request on an existing flow
 // 3.5 s later.
-func workAfterDrain(ctx context.Context, t *testing.T, s *Site, x *script) {
+func requestAfterDrain(ctx context.Context, t *testing.T, s *Site, x *script) {
 	limit, stop := context.WithTimeout(ctx, 20*time.Second)
 	defer stop()
 	var f *flow
-	if poll(limit, func() bool { f = flowAt(limit, s, s.Units()[0]); return f != nil }) != nil {
+	if poll(limit, func() bool { f = openFlowAt(limit, s, s.Units()[0]); return f != nil }) != nil {
 		t.Fatal("no flow reached the upstream that is to drain")
 	}
 	defer f.close()
@@ -362,14 +362,14 @@
 	}{
 		{"balancer crashes", (*script).killBalancer}, {"balancer joins", (*script).joinBalancer},
 		{"upstream drains", (*script).drain}, {"upstream turns cold", (*script).turnCold},
-		{"upstreams swap answers", (*script).cross}, {"platform goes down", (*script).platformDown},
+		{"upstreams swap answers", (*script).swapAnswers}, {"platform goes down", (*script).platformDown},
 	}
-	r := rand.New(rand.NewPCG(7, uint64(size(t, "POMELOWAY_SEED", 1))))
-	for range size(t, "POMELOWAY_PAIRS", 3) {
+	r := rand.New(rand.NewPCG(7, uint64(sizeFromEnv(t, "POMELOWAY_SEED", 1))))
+	for range sizeFromEnv(t, "POMELOWAY_PAIRS", 3) {
 		a, b := faults[r.IntN(len(faults))], faults[r.IntN(len(faults))]
 		t.Run(a.name+" and "+b.name, func(t *testing.T) {
 			s, rec := startSite(t, "saltbush", guard.Off{})
-			rep := during(t, s, rec, 40, func(ctx context.Context) {
+			rep := runDuring(t, s, rec, 40, func(ctx context.Context) {
 				x := &script{s: s, rec: rec}
 				for _, f := range []func(*script, context.Context) error{a.do, b.do} {
 					if err := f(x, ctx); err != nil {
@@ -378,7 +378,7 @@
 				}
 				time.Sleep(3 * time.Second)
 			})
-			mustHold(t, rep)
+			requireInvariants(t, rep)
 		})
 	}
 }
--- a/demo/flow.go
+++ b/demo/flow.go
@@ -25,12 +25,12 @@
 )
 
 // Timeouts of callers. The idle timeout and the keep-alive period make callers
-// detect a silent path as fast as the agents do.
+// detect a path that drops all datagrams as fast as the agents do.
 const (
-	callerIdle      = 8 * time.Second
-	callerKeepAlive = 2 * time.Second
-	openTimeout     = 6 * time.Second
-	requestTimeout  = 20 * time.Second
+	callerIdleTimeout = 8 * time.Second
+	callerKeepAlive   = 2 * time.Second
+	openTimeout       = 6 * time.Second
+	requestTimeout    = 20 * time.Second
 )
 
 // flow is one caller's QUIC connection to a service.
@@ -44,13 +44,13 @@
 	// socket is the UDP socket of this flow; nil if the flow shares a transport.
 	socket *net.UDPConn
 	zone   atomic.Int32
-	// workZone is the zone of the upstream that sent the last answer. It differs
+	// upstreamZone is the zone of the upstream that sent the last answer. It differs
 	// from zone if the agent forwarded the request to another agent.
-	workZone atomic.Int32
-	at       atomic.Pointer[string]
-	counted  bool
-	// moved holds functions that close the ports which the flow has migrated to.
-	moved []func()
+	upstreamZone atomic.Int32
+	agentID      atomic.Pointer[string]
+	counted      bool
+	// closers holds functions that close the ports which the flow has migrated to.
+	closers []func()
 }
 
 // openFlow opens a flow from a new port.
@@ -73,34 +73,34 @@
 	ctx, stop := context.WithTimeout(ctx, openTimeout)
 	defer stop()
 	var err error
-	f.conn, err = f.tr.Dial(ctx, net.UDPAddrFromAddrPort(f.s.ServiceAddress(f.service)), f.s.callers, &quic.Config{
-		MaxIdleTimeout: callerIdle, KeepAlivePeriod: callerKeepAlive, HandshakeIdleTimeout: openTimeout,
+	f.conn, err = f.tr.Dial(ctx, net.UDPAddrFromAddrPort(f.s.ServiceAddress(f.service)), f.s.callerTLS, &quic.Config{
+		MaxIdleTimeout: callerIdleTimeout, KeepAlivePeriod: callerKeepAlive, HandshakeIdleTimeout: openTimeout,
 	})
 	if err != nil {
 		f.close()
 		return nil, err
 	}
 	f.h3 = (&http3.Transport{}).NewClientConn(f.conn)
-	f.rec.do(func(r *Report) { r.FlowsOpened++ })
+	f.rec.update(func(r *Report) { r.FlowsOpened++ })
 	// The first answer names the agent and the zone of the flow. They are needed
 	// to distinguish a flow that is closed with its zone from one that broke.
 	if _, err := f.do(context.WithoutCancel(ctx), http.MethodPost, agent.PathKey, nil, ""); err != nil {
-		f.note(f.classify(context.Background(), err), err, "first request")
+		f.countFailure(f.classify(context.Background(), err), err, "first request")
 		f.close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// move migrates the flow to a new port, as a caller does when its path has become
+// migrate moves the flow to a new port, as a caller does when its path has become
 // silent.
-func (f *flow) move(ctx context.Context) error {
+func (f *flow) migrate(ctx context.Context) error {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return err
 	}
 	t := &quic.Transport{Conn: c}
-	f.moved = append(f.moved, func() { t.Close(); c.Close() })
+	f.closers = append(f.closers, func() { t.Close(); c.Close() })
 	p, err := f.conn.AddPath(t)
 	if err != nil {
 		return err
@@ -118,14 +118,14 @@
 	if f.conn != nil {
 		f.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
 	}
-	if p := f.at.Load(); p != nil {
-		f.rec.flow(f.name(), *p, -1)
+	if p := f.agentID.Load(); p != nil {
+		f.rec.addFlows(f.name(), *p, -1)
 	}
 	if f.socket != nil {
 		f.tr.Close()
 		f.socket.Close()
 	}
-	for _, c := range f.moved {
+	for _, c := range f.closers {
 		c()
 	}
 }
@@ -135,11 +135,11 @@
 
 // result is the answer to a request.
 type result struct {
-	status  int
-	outcome agent.Outcome
-	body    []byte
-	header  http.Header
-	retry   time.Duration
+	status     int
+	outcome    agent.Outcome
+	body       []byte
+	header     http.Header
+	retryAfter time.Duration
 }
 
 // do sends a request and reads the whole answer.
@@ -162,7 +162,7 @@
 // send sends a request and returns the answer with its body unread. It records
 // the zones and the agent that the answer names.
 func (f *flow) send(ctx context.Context, method, path string, body []byte, key string) (*http.Response, error) {
-	r, err := http.NewRequestWithContext(ctx, method, "https://"+callerName+path, bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, method, "https://"+serverName+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -178,62 +178,61 @@
 		f.zone.Store(int32(z))
 	}
 	z := slices.Index(f.s.Deployment.Zones, bundle.Name(a.Header.Get("Upstream-Zone")))
-	f.workZone.Store(int32(z + 1))
-	f.place(a.Header.Get(agent.HeaderAgent))
+	f.upstreamZone.Store(int32(z + 1))
+	f.countAtAgent(a.Header.Get(agent.HeaderAgent))
 	return a, nil
 }
 
-// place counts the flow at its agent unless it is counted already.
-func (f *flow) place(at string) {
-	if at != "" && !f.counted {
+// countAtAgent counts the flow at its agent unless it is counted already.
+func (f *flow) countAtAgent(agentID string) {
+	if agentID != "" && !f.counted {
 		f.counted = true
-		f.at.Store(&at)
-		f.rec.flow(f.name(), at, 1)
+		f.agentID.Store(&agentID)
+		f.rec.addFlows(f.name(), agentID, 1)
 	}
 }
 
-// fault is the reason why a request failed.
-type fault uint8
+// failure is the reason why a request failed.
+type failure uint8
 
 const (
-	// faultFlow means that the flow broke during the request.
-	faultFlow fault = iota
-	// faultZone means that the availability zone of the flow was taken out.
-	faultZone
-	// faultUpstream means that the VM of the flow's upstream was killed by the
-	// script.
-	faultUpstream
-	// faultMoved means that the agent rejected the request and asked for a new
+	// failureBroken means that the flow broke during the request.
+	failureBroken failure = iota
+	// failureZoneOut means that the availability zone of the flow was taken out.
+	failureZoneOut
+	// failureUpstreamKilled means that the VM of the flow's upstream was killed.
+	failureUpstreamKilled
+	// failureRejected means that the agent rejected the request and asked for a new
 	// flow.
-	faultMoved
-	// faultTime means that the context of the caller ended.
-	faultTime
+	failureRejected
+	// failureCanceled means that the context of the caller ended.
+	failureCanceled
 )
 
 // classify returns the reason why a request failed.
-func (f *flow) classify(ctx context.Context, err error) fault {
+func (f *flow) classify(ctx context.Context, err error) failure {
 	var app *quic.ApplicationError
 	var h *http3.Error
 	switch {
 	case ctx.Err() != nil:
-		return faultTime
+		return failureCanceled
 	case errors.As(err, &h) && h.ErrorCode == http3.ErrCodeRequestRejected:
-		return faultMoved
+		return failureRejected
 	case errors.As(err, &app) && strings.Contains(app.ErrorMessage, "zone out"):
-		return faultZone
-	case wasReset(err) && f.s.anyOut():
-		return faultZone // opened there, but no answer named the zone yet
-	case f.s.wasOut(bundle.ZoneID(f.zone.Load())), f.s.wasOut(bundle.ZoneID(f.workZone.Load())):
-		return faultZone
+		return failureZoneOut
+	case wasReset(err) && f.s.isAnyZoneOut():
+		return failureZoneOut // opened there, but no answer named the zone yet
+	case f.s.isZoneOut(bundle.ZoneID(f.zone.Load())), f.s.isZoneOut(bundle.ZoneID(f.upstreamZone.Load())):
+		return failureZoneOut
 	case strings.Contains(err.Error(), "graceful shutdown"):
-		return faultMoved
+		return failureRejected
 	case errors.As(err, &h) && !h.Remote && h.ErrorCode == http3.ErrCodeNoError:
-		return faultMoved
+		return failureRejected
 	}
-	if p := f.at.Load(); p != nil && f.s.wasKilled(*p) {
-		return faultUpstream
+	if p := f.agentID.Load(); p != nil && f.s.wasKilled(*p) {
+		return failureUpstreamKilled
 	}
-	return faultFlow
+	return failureBroken
 }
 
 // wasReset reports whether the flow was closed by a stateless reset.
@@ -242,16 +241,16 @@
 	return errors.As(err, &r)
 }
 
-// note counts a failed request in the report.
-func (f *flow) note(x fault, err error, what string) {
+// countFailure counts a failed request in the report.
+func (f *flow) countFailure(x failure, err error, what string) {
 	switch x {
-	case faultFlow:
-		f.rec.cause(fmt.Sprintf("%s: %v", what, err))
-		f.rec.do(func(r *Report) { r.BrokenFlows++ })
-	case faultZone:
-		f.rec.do(func(r *Report) { r.FlowsGivenUpWithZone++ })
-	case faultUpstream:
-		f.rec.do(func(r *Report) { r.FlowsLostWithUpstream++ })
+	case failureBroken:
+		f.rec.addCause(fmt.Sprintf("%s: %v", what, err))
+		f.rec.update(func(r *Report) { r.BrokenFlows++ })
+	case failureZoneOut:
+		f.rec.update(func(r *Report) { r.FlowsGivenUpWithZone++ })
+	case failureUpstreamKilled:
+		f.rec.update(func(r *Report) { r.FlowsLostWithUpstream++ })
 	}
 }
 
@@ -260,14 +259,14 @@
 var errFeedRefused = errors.New("feed was refused")
 
 // feed requests a feed and reads it to its last line.
-func (f *flow) feed(ctx context.Context, me string, lines int, every time.Duration) error {
-	a, err := f.send(ctx, http.MethodGet, fmt.Sprintf("/feed?caller=%s&lines=%d&every=%s", me, lines, every), nil, "")
+func (f *flow) feed(ctx context.Context, callerName string, lines int, every time.Duration) error {
+	a, err := f.send(ctx, http.MethodGet, fmt.Sprintf("/feed?caller=%s&lines=%d&every=%s", callerName, lines, every), nil, "")
 	if err != nil {
 		return err
 	}
 	defer a.Body.Close()
 	if a.StatusCode != http.StatusOK {
-		f.rec.do(func(r *Report) { r.RequestsRefused++ })
+		f.rec.update(func(r *Report) { r.RequestsRefused++ })
 		return errFeedRefused
 	}
 	d := json.NewDecoder(a.Body)
@@ -276,8 +275,8 @@
 		if err := d.Decode(&l); err != nil {
 			return eris.Wrapf(err, "feed after %d of %d lines", seq-1, lines)
 		}
-		wrong := l.Seq != seq || l.Caller != me || l.Service != f.name()
-		f.rec.do(func(r *Report) {
+		wrong := l.Seq != seq || l.Caller != callerName || l.Service != f.name()
+		f.rec.update(func(r *Report) {
 			r.FeedLines++
 			if wrong {
 				r.RequestsWrong++
--- a/demo/measure.go
+++ b/demo/measure.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.health = "" // health checks stay within a VM and are not traffic of the fleet
+	s.healthPath = "" // health checks stay within a VM and are not traffic of the fleet
 	if err := s.Start(ctx); err != nil {
 		s.Close()
 		return nil, err
@@ -44,7 +44,7 @@
 		return 0, err
 	}
 	start := time.Now()
-	if err := f.s.acceptText(ctx, append([]byte("# Touched.\n"), cur.Signed.Text...)); err != nil {
+	if err := f.s.acceptBundle(ctx, append([]byte("# Touched.\n"), cur.Signed.Text...)); err != nil {
 		return 0, err
 	}
 	err = f.s.InForce(ctx, cur.Version+1)
--- a/demo/options.go
+++ b/demo/options.go
@@ -28,10 +28,10 @@
 	maxCallers  = 5000
 )
 
-// sabotages are the guards that --sabotage accepts. A run of the default length
-// reports a violated invariant without any of these; the other guards are
-// covered by tests of single packages.
-var sabotages = []guard.Name{guard.Drain, guard.Journal, guard.Slots, guard.Token, guard.Zone}
+// sabotageGuards are the guards that --sabotage accepts. The report of a run of the
+// default length shows the absence of each of these; for the other guards, tests
+// of single packages show it.
+var sabotageGuards = []guard.Name{guard.Drain, guard.Journal, guard.Slots, guard.Token, guard.Zone}
 
 // Validate returns all invalid settings as one error.
 func (o *Options) Validate() error {
@@ -40,6 +40,6 @@
 	f.Want(ok, "--deployment", "must be one of "+strings.Join(slices.Sorted(maps.Keys(Deployments)), ", "))
 	f.Want(o.Duration >= minDuration, "--duration", fmt.Sprintf("must be at least %v", minDuration))
 	f.Want(o.Callers > 0 && o.Callers <= maxCallers, "--callers", fmt.Sprintf("must be 1 to %d", maxCallers))
-	f.Want(o.Sabotage == "" || slices.Contains(sabotages, o.Sabotage), "--sabotage", fmt.Sprintf("must be one of %v", sabotages))
+	f.Want(o.Sabotage == "" || slices.Contains(sabotageGuards, o.Sabotage), "--sabotage", fmt.Sprintf("must be one of %v", sabotageGuards))
 	return f.All()
 }
--- a/demo/overload_test.go
+++ b/demo/overload_test.go
@@ -30,8 +30,8 @@
 	if over.refused == 0 {
 		t.Error("no request was refused, so the service was not overloaded")
 	}
-	if over.refusedRun > 0 {
-		t.Errorf("%d requests were refused as not run, but ran", over.refusedRun)
+	if over.refusedButRun > 0 {
+		t.Errorf("%d requests were refused as not run, but ran", over.refusedButRun)
 	}
 }
 
@@ -39,24 +39,24 @@
 func warmUp(t *testing.T, s *Site, rec *recorder) {
 	ctx, stop := context.WithTimeout(t.Context(), 3*time.Second)
 	defer stop()
-	runCallers(ctx, s, rec, 60/scale, 9)
+	runCallers(ctx, s, rec, 60/callerDivisor, 9)
 }
 
-// load is the result of one call of goodput. Its rate is in answers per second;
-// refusedRun counts the refused orders that ran.
-type load struct {
-	rate       float64
-	refused    int
-	refusedRun int
-	slowest    time.Duration
+// overloadResult is the result of one call of goodput. Its rate is in answers per
+// second; refusedButRun counts the orders that ran although they were refused.
+type overloadResult struct {
+	rate          float64
+	refused       int
+	refusedButRun int
+	slowest       time.Duration
 }
 
 // goodput runs callers that send orders without a pause, and waits only after
 // refusals as long as the agent asks.
-func goodput(t *testing.T, s *Site, callers int, d time.Duration) load {
+func goodput(t *testing.T, s *Site, callers int, d time.Duration) overloadResult {
 	t.Helper()
 	var mu sync.Mutex
-	var l load
+	var l overloadResult
 	ok := 0
 	ctx, stop := context.WithTimeout(t.Context(), d)
 	defer stop()
@@ -86,12 +86,12 @@
 					l.refused++
 					l.slowest = max(l.slowest, time.Since(start))
 					if s.Ledger.Runs(id) > 0 {
-						l.refusedRun++
+						l.refusedButRun++
 					}
 				}
 				mu.Unlock()
 				if r.status != http.StatusOK {
-					clock.Sleep(ctx, r.retry)
+					clock.Sleep(ctx, r.retryAfter)
 				}
 			}
 		})
--- a/demo/race_off_test.go
+++ b/demo/race_off_test.go
@@ -2,5 +2,5 @@
 
 package demo
 
-// scale divides the number of callers in a test.
-const scale = 1
+// callerDivisor divides the number of callers in a test.
+const callerDivisor = 1
--- a/demo/report.go
+++ b/demo/report.go
@@ -61,16 +61,16 @@
 	P99Seconds    float64 `json:"p99Seconds"`
 }
 
-// Limits of the invariants, in seconds but for flowsFailedMost.
+// Limits of the invariants, in seconds but for maxFailedOpenings.
 const (
-	zoneOutLimit    = 5.0
-	inForceLimit    = 19.0
-	newWorkLimit    = 3.0
-	flowsFailedMost = 0
+	maxZoneOutSeconds = 5.0
+	maxInForceSeconds = 19.0
+	maxNewWorkSeconds = 3.0
+	maxFailedOpenings = 0
 )
 
-// judge sets Broken to the invariants that the run violated.
-func (r *Report) judge() {
+// checkInvariants sets Broken to the invariants that the run violated.
+func (r *Report) checkInvariants() {
 	r.Broken = []string{}
 	add := func(broken bool, text string, v any) {
 		if broken {
@@ -84,10 +84,10 @@
 	add(r.Misrouted > 0, "requests reached another service", r.Misrouted)
 	add(r.OverSlots > 0, "work beyond an upstream's slots", r.OverSlots)
 	add(r.OverCold > 0, "work beyond what a cold upstream bears", r.OverCold)
-	add(r.ZoneOutSeconds > zoneOutLimit, "zone that is out still served, seconds", r.ZoneOutSeconds)
-	add(r.BundleInForceSeconds > inForceLimit, "bundle in force late, seconds", r.BundleInForceSeconds)
-	add(r.NewWorkAfterLeaving > newWorkLimit, "leaving upstream got new work, seconds", r.NewWorkAfterLeaving)
-	add(r.FlowsFailedToOpen > flowsFailedMost, "flows failed to open", r.FlowsFailedToOpen)
+	add(r.ZoneOutSeconds > maxZoneOutSeconds, "zone that is out still served, seconds", r.ZoneOutSeconds)
+	add(r.BundleInForceSeconds > maxInForceSeconds, "bundle in force late, seconds", r.BundleInForceSeconds)
+	add(r.NewWorkAfterLeaving > maxNewWorkSeconds, "leaving upstream got new work, seconds", r.NewWorkAfterLeaving)
+	add(r.FlowsFailedToOpen > maxFailedOpenings, "flows failed to open", r.FlowsFailedToOpen)
 	add(r.RequestsAnswered == 0, "no request was answered", r.RequestsAnswered)
 }
 
@@ -100,10 +100,10 @@
 
 // recorder collects the measurements of the callers.
 type recorder struct {
-	mu    sync.Mutex
-	r     Report
-	took  []sample
-	flows map[string]map[string]int // open flows by service and agent
+	mu      sync.Mutex
+	r       Report
+	samples []sample
+	flows   map[string]map[string]int // open flows by service and agent
 	// shares holds, by service, the samples of the largest flow count of an
 	// upstream over the mean.
 	shares map[string][]float64
@@ -122,32 +122,32 @@
 	return &recorder{flows: map[string]map[string]int{}, shares: map[string][]float64{}, causes: map[string]int{}}
 }
 
-// do calls f on the report while holding the lock.
-func (r *recorder) do(f func(*Report)) {
+// update calls f on the report while holding the lock.
+func (r *recorder) update(f func(*Report)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.r)
 }
 
-// cause counts a failure under its text.
-func (r *recorder) cause(text string) {
+// addCause counts a failure under its text.
+func (r *recorder) addCause(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.causes[text]++
 }
 
-// request records a finished request.
-func (r *recorder) request(took time.Duration, answered bool) {
+// addRequest records a finished request.
+func (r *recorder) addRequest(took time.Duration, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.took = append(r.took, sample{time.Now(), took, answered})
+	r.samples = append(r.samples, sample{time.Now(), took, answered})
 	if answered {
 		r.r.RequestsAnswered++
 	}
 }
 
-// flow adds n to the number of open flows at an agent of the service.
-func (r *recorder) flow(service, up string, n int) {
+// addFlows adds n to the number of open flows at an agent of the service.
+func (r *recorder) addFlows(service, up string, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.flows[service]
@@ -158,9 +158,9 @@
 	m[up] += n
 }
 
-// minFlows is the mean number of flows per upstream below which shares are not
-// sampled.
-const minFlows = 4
+// minFlowsPerUpstream is the mean number of flows per upstream below which shares
+// are not sampled.
+const minFlowsPerUpstream = 4
 
 // sampleShares records, for each service, the largest number of flows at one of
 // the given agents over the mean.
@@ -173,15 +173,15 @@
 			c := r.flows[svc][n]
 			most, sum = max(most, c), sum+c
 		}
-		if len(names) > 0 && sum >= minFlows*len(names) {
+		if len(names) > 0 && sum >= minFlowsPerUpstream*len(names) {
 			r.shares[svc] = append(r.shares[svc], float64(most)*float64(len(names))/float64(sum))
 		}
 	}
 }
 
-// report returns the report of all requests so far. The move lasts from the first
-// time until the second.
-func (r *recorder) report(from, to time.Time) Report {
+// finish returns the report of all requests so far. The zone's move lasts from the
+// first time until the second.
+func (r *recorder) finish(from, to time.Time) Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := r.r
@@ -192,27 +192,27 @@
 		out.Imbalance[s] = x[len(x)/2]
 	}
 	var all []time.Duration
-	for _, s := range r.took {
+	for _, s := range r.samples {
 		if s.answered {
 			all = append(all, s.took)
 		}
 	}
 	out.P50Seconds, out.P99Seconds = quantile(all, 0.5), quantile(all, 0.99)
-	whole := window(r.took, from, to)
+	whole := summarize(r.samples, from, to)
 	out.MoveAnsweredShare, out.MoveP99Seconds = whole.AnsweredShare, whole.P99Seconds
 	for at := from; at.Before(to); at = at.Add(time.Second) {
-		w := window(r.took, at, at.Add(time.Second))
+		w := summarize(r.samples, at, at.Add(time.Second))
 		w.Second = len(out.MoveSeconds)
 		out.MoveSeconds = append(out.MoveSeconds, w)
 	}
 	return out
 }
 
-// window sums up the requests that ended at or after from and before to.
-func window(took []sample, from, to time.Time) Second {
+// summarize sums up the requests that ended at or after from and before to.
+func summarize(samples []sample, from, to time.Time) Second {
 	var w Second
 	var answered []time.Duration
-	for _, s := range took {
+	for _, s := range samples {
 		if s.at.Before(from) || !s.at.Before(to) {
 			continue
 		}
--- a/demo/report_test.go
+++ b/demo/report_test.go
@@ -13,7 +13,7 @@
 	from := time.Now()
 	r := newRecorder()
 	end := func(after time.Duration, answered bool) {
-		r.took = append(r.took, sample{at: from.Add(after), took: 10 * time.Millisecond, answered: answered})
+		r.samples = append(r.samples, sample{at: from.Add(after), took: 10 * time.Millisecond, answered: answered})
 	}
 	end(-time.Millisecond, false)
 	end(0, true)
@@ -22,7 +22,7 @@
 	end(1500*time.Millisecond, true)
 	end(2900*time.Millisecond, true)
 	end(3*time.Second, false)
-	got := r.report(from, from.Add(3*time.Second))
+	got := r.finish(from, from.Add(3*time.Second))
 	want := []Second{{0, 2, 1, 0.01}, {1, 2, 0.5, 0.01}, {2, 1, 1, 0.01}}
 	if !slices.Equal(got.MoveSeconds, want) || got.MoveAnsweredShare != 0.8 {
 		t.Errorf("seconds of the move %+v, answered share %v", got.MoveSeconds, got.MoveAnsweredShare)
--- a/demo/request_bench_test.go
+++ b/demo/request_bench_test.go
@@ -21,12 +21,12 @@
 	b.Helper()
 	d := Deployment{Name: "bench", Zones: Deployments["agency"].Zones, Balancers: 3, Services: []ServiceSize{z}}
 	s, _ := startDeployment(b, d, guard.Off{})
-	warm(b, s)
+	warmAll(b, s)
 	return s
 }
 
-// warm sends requests until no upstream is cold and every agent knows it.
-func warm(b *testing.B, s *Site) {
+// warmAll sends requests until no upstream is cold and every agent knows it.
+func warmAll(b *testing.B, s *Site) {
 	b.Helper()
 	ctx, stop := context.WithTimeout(b.Context(), startTimeout)
 	defer stop()
@@ -59,15 +59,15 @@
 	return true
 }
 
-// work calls each function repeatedly and concurrently with the others for the
-// duration d, and returns how long each call took.
-func work(b *testing.B, d time.Duration, ask []func(context.Context) error) []time.Duration {
+// measureRequests calls each function repeatedly, concurrently with the others, for
+// the duration d. It returns how long each call took.
+func measureRequests(b *testing.B, d time.Duration, requests []func(context.Context) error) []time.Duration {
 	b.Helper()
 	ctx, stop := context.WithTimeout(b.Context(), d)
 	defer stop()
-	took := make([][]time.Duration, len(ask))
+	took := make([][]time.Duration, len(requests))
 	var w sync.WaitGroup
-	for i, f := range ask {
+	for i, f := range requests {
 		w.Go(func() {
 			for ctx.Err() == nil {
 				start := time.Now()
@@ -93,12 +93,12 @@
 			s := benchSite(b, ServiceSize{Name: "web", Upstreams: 3, Slots: 64, Connections: 2000, Work: time.Nanosecond})
 			direct, through := directCallers(b, s, callers), throughCallers(b, s, callers)
 			var d, t []time.Duration
-			const turn = time.Second
+			const round = time.Second
 			for b.Loop() {
-				d = append(d, work(b, turn, direct)...)
-				t = append(t, work(b, turn, through)...)
+				d = append(d, measureRequests(b, round, direct)...)
+				t = append(t, measureRequests(b, round, through)...)
 			}
-			seconds := turn.Seconds() * float64(b.N)
+			seconds := round.Seconds() * float64(b.N)
 			b.ReportMetric(float64(len(d))/seconds, "direct/s")
 			b.ReportMetric(float64(len(t))/seconds, "through/s")
 			for name, q := range map[string]float64{"p50": 0.5, "p99": 0.99, "p99.9": 0.999} {
@@ -164,16 +164,16 @@
 		}
 		return n
 	}
-	ask := throughCallers(b, s, 2*upstreams*slots)
-	const turn = 5 * time.Second
+	requests := throughCallers(b, s, 2*upstreams*slots)
+	const round = 5 * time.Second
 	var done atomic.Uint64
 	for b.Loop() {
 		before = served()
-		work(b, turn, ask)
+		measureRequests(b, round, requests)
 		done.Add(served() - before)
 	}
-	busy := float64(done.Load()) * upstreamWork.Seconds()
-	b.ReportMetric(busy/(turn.Seconds()*float64(b.N)*upstreams*slots), "busy")
+	busy := float64(done.Load()) * defaultWork.Seconds()
+	b.ReportMetric(busy/(round.Seconds()*float64(b.N)*upstreams*slots), "busy")
 }
 
 // BenchmarkUpload sends 1 GiB through an agent and reports the size of the heap
@@ -191,11 +191,11 @@
 	var base, most uint64
 	for b.Loop() {
 		runtime.GC()
-		base = heap()
+		base = heapInUse()
 		ctx, stop := context.WithCancel(b.Context())
 		go func() {
 			for clock.Sleep(ctx, 10*time.Millisecond) {
-				most = max(most, heap())
+				most = max(most, heapInUse())
 			}
 		}()
 		upload(b, f, size)
@@ -205,8 +205,8 @@
 	b.ReportMetric(float64(most)/(1<<20), "most-MiB")
 }
 
-// heap returns the bytes in use on the heap.
-func heap() uint64 {
+// heapInUse returns the bytes in use on the heap.
+func heapInUse() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapInuse
--- a/demo/scenario_test.go
+++ b/demo/scenario_test.go
@@ -23,9 +23,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// size returns the size of a scenario from the environment variable, or small if
-// it is not set, as in CI.
-func size(t *testing.T, variable string, small int) int {
+// sizeFromEnv returns the size of a scenario from the environment variable, or
+// small if it is not set, as in CI.
+func sizeFromEnv(t *testing.T, variable string, small int) int {
 	t.Helper()
 	n, err := strconv.Atoi(cmp.Or(os.Getenv(variable), strconv.Itoa(small)))
 	if err != nil {
@@ -66,33 +66,33 @@
 	return s, newRecorder()
 }
 
-// holdFeeds opens feeds of the given number of lines and waits until all have
+// readFeeds opens feeds of the given number of lines and waits until all have
 // ended.
-func holdFeeds(t *testing.T, s *Site, rec *recorder, count, lines int, every time.Duration) {
+func readFeeds(t *testing.T, s *Site, rec *recorder, count, lines int, every time.Duration) {
 	var w sync.WaitGroup
-	ports := sharedPorts(t, (count+sharePort-1)/sharePort)
+	ports := sharedTransports(t, (count+callersPerPort-1)/callersPerPort)
 	for i := range count {
 		w.Go(func() {
-			c := &caller{s: s, rec: rec, rand: rand.New(rand.NewPCG(1, uint64(i))), name: fmt.Sprintf("feed-%d", i), shared: ports[i%len(ports)]}
+			c := &caller{s: s, rec: rec, rand: rand.New(rand.NewPCG(1, uint64(i))), name: fmt.Sprintf("feed-%d", i), sharedTransport: ports[i%len(ports)]}
 			f := c.open(t.Context())
 			if f == nil {
 				return
 			}
 			defer f.close()
-			c.feed(t.Context(), f, lines, every)
+			c.readFeed(t.Context(), f, lines, every)
 		})
-		time.Sleep(openEvery)
+		time.Sleep(openInterval)
 	}
 	w.Wait()
 }
 
-// sharePort is the number of callers that share a port. Ten thousand callers with
-// a port each need as many ports of the fabric, which exceeds the number of files
-// that a process may open.
-const sharePort = 4
+// callersPerPort is the number of callers that share a port. With a port each, ten
+// thousand callers and as many ports of the fabric would exceed the number of
+// files that a process may open.
+const callersPerPort = 4
 
-// sharedPorts opens transports that several flows can use.
-func sharedPorts(t *testing.T, count int) []*quic.Transport {
+// sharedTransports opens transports that several flows can use.
+func sharedTransports(t *testing.T, count int) []*quic.Transport {
 	t.Helper()
 	var out []*quic.Transport
 	for range count {
@@ -107,8 +107,8 @@
 	return out
 }
 
-// openEvery is the interval at which callers open their feeds.
-const openEvery = time.Millisecond
+// openInterval is the interval at which callers open their feeds.
+const openInterval = time.Millisecond
 
 // Guards against feeds that break while balancers come and go. Each second one
 // balancer crashes and another joins; the fabric sends datagrams to the crashed
@@ -116,16 +116,16 @@
 // that only read a feed send nothing from which an agent could learn another
 // return path.
 func TestFeedsSurviveBalancersComingAndGoing(t *testing.T) {
-	flows, seconds := size(t, "POMELOWAY_FLOWS", 60/scale), size(t, "POMELOWAY_SECONDS", 6)
+	flows, seconds := sizeFromEnv(t, "POMELOWAY_FLOWS", 60/callerDivisor), sizeFromEnv(t, "POMELOWAY_SECONDS", 6)
 	s, rec := startSite(t, "agency", guard.Off{})
 	s.Lag = func() time.Duration { return rand.N(5 * time.Second) }
 	ctx, stop := context.WithCancel(t.Context())
 	var w sync.WaitGroup
 	w.Go(func() { churn(ctx, t, s) })
-	holdFeeds(t, s, rec, flows, seconds*2, 500*time.Millisecond)
+	readFeeds(t, s, rec, flows, seconds*2, 500*time.Millisecond)
 	stop()
 	w.Wait()
-	r := rec.report(time.Time{}, time.Time{})
+	r := rec.finish(time.Time{}, time.Time{})
 	t.Logf("flows %d, broken %d, failed to open %d, refused %d, lines %d, whole %d, causes %v",
 		r.FlowsOpened, r.BrokenFlows, r.FlowsFailedToOpen, r.FlowsRefused, r.FeedLines, r.FeedsWhole, r.Causes)
 	if r.BrokenFlows > 0 || r.FeedsWhole != flows || r.RequestsWrong > 0 || r.FlowsFailedToOpen > 0 {
@@ -145,7 +145,7 @@
 		dead := s.Balancers()[0]
 		s.Kill(dead)
 		s.SyncFabric(dead)
-		time.AfterFunc(staleFabric, func() { s.SyncFabric() })
+		time.AfterFunc(fabricUpdateDelay, func() { s.SyncFabric() })
 		clock.Sleep(ctx, time.Second)
 	}
 }
--- a/demo/script.go
+++ b/demo/script.go
@@ -25,15 +25,19 @@
 	rec *recorder
 	log func(string)
 
+	// moveFrom and moveTo bound the move of a zone: from just before the command to
+	// take it out until moveTail after its return.
 	moveFrom, moveTo time.Time
-	drained          *unit
-	leftAt, outAt    time.Time
+	// drained is the upstream that drain stopped, at drainedAt.
+	drained *upstreamVM
+	// zoneOutAt is when the command to take the zone out had succeeded.
+	drainedAt, zoneOutAt time.Time
 }
 
 const (
-	// staleFabric is how long the fabric sends datagrams to a balancer after its
-	// death.
-	staleFabric = 2 * time.Second
+	// fabricUpdateDelay is how long the fabric sends datagrams to a balancer after
+	// its crash.
+	fabricUpdateDelay = 2 * time.Second
 	// moveTail is how long the move of a zone lasts after the zone's return.
 	moveTail = 2 * time.Second
 )
@@ -44,13 +48,13 @@
 		{0.08, "a balancer crashes", x.killBalancer},
 		{0.16, "a balancer joins", x.joinBalancer},
 		{0.22, "an upstream drains", x.drain},
-		{0.30, "its replacement joins cold", x.replace},
+		{0.30, "its replacement joins cold", x.addReplacement},
 		{0.36, "an upstream turns cold without warning", x.turnCold},
-		{0.40, "upstreams swap answers", x.cross},
+		{0.40, "upstreams swap answers", x.swapAnswers},
 		{0.44, "the platform goes down", x.platformDown},
 		{0.46, "a balancer joins while it is down", x.joinBalancer},
 		{0.54, "the platform recovers", x.platformUp},
-		{0.58, "the answer to an operator is lost", x.acceptLost},
+		{0.58, "the answer to an operator is lost", x.acceptWithLostAnswers},
 		{0.64, "an availability zone is taken out", x.zoneOut},
 		{0.80, "the availability zone returns", x.zoneIn},
 		{0.90, "a balancer stops gracefully", x.stopBalancer},
@@ -77,7 +81,7 @@
 	b := x.s.Balancers()[0]
 	x.s.Kill(b)
 	x.s.SyncFabric(b)
-	time.AfterFunc(staleFabric, func() { x.s.SyncFabric() })
+	time.AfterFunc(fabricUpdateDelay, func() { x.s.SyncFabric() })
 	return nil
 }
 
@@ -105,12 +109,12 @@
 }
 
 func (x *script) drain(context.Context) error {
-	x.drained, x.leftAt = x.s.Units()[0], time.Now()
+	x.drained, x.drainedAt = x.s.Units()[0], time.Now()
 	go x.s.StopUnit(x.drained)
 	return nil
 }
 
-func (x *script) replace(context.Context) error {
+func (x *script) addReplacement(context.Context) error {
 	_, err := x.s.AddUpstream(0, x.drained.zone)
 	return err
 }
@@ -120,11 +124,11 @@
 	return nil
 }
 
-func (x *script) cross(context.Context) error {
+func (x *script) swapAnswers(context.Context) error {
 	for _, u := range x.s.Units() {
 		u.Cross(true)
 	}
-	time.AfterFunc(staleFabric, func() {
+	time.AfterFunc(fabricUpdateDelay, func() {
 		for _, u := range x.s.Units() {
 			u.Cross(false)
 		}
@@ -142,29 +146,30 @@
 	return nil
 }
 
-// acceptLost accepts a bundle while the platform loses the answers to the next two
-// writes, and measures the time until the bundle is in force in every process.
-func (x *script) acceptLost(ctx context.Context) error {
+// acceptWithLostAnswers accepts a bundle while the platform loses the answers to
+// the next two writes, and measures the time until the bundle is in force in every
+// process.
+func (x *script) acceptWithLostAnswers(ctx context.Context) error {
 	cur, err := x.s.Desk.Current(ctx)
 	if err != nil {
 		return err
 	}
 	x.s.Platform.Set(standin.Faults{LoseAnswers: 2})
 	start := time.Now()
-	if err := x.s.acceptText(ctx, append([]byte("# Touched.\n"), cur.Signed.Text...)); err != nil {
+	if err := x.s.acceptBundle(ctx, append([]byte("# Touched.\n"), cur.Signed.Text...)); err != nil {
 		return err
 	}
-	return x.inForce(ctx, cur.Version+1, start)
+	return x.measureInForce(ctx, cur.Version+1, start)
 }
 
-// inForce waits until the version is in force and records the time since start if
-// it is the longest so far.
-func (x *script) inForce(ctx context.Context, v bundle.Version, start time.Time) error {
+// measureInForce waits until the version is in force, and records the time since
+// start if it is the longest so far.
+func (x *script) measureInForce(ctx context.Context, v bundle.Version, start time.Time) error {
 	if err := x.s.InForce(ctx, v); err != nil {
 		return err
 	}
 	d := time.Since(start).Seconds()
-	x.rec.do(func(r *Report) { r.BundleInForceSeconds = max(r.BundleInForceSeconds, d) })
+	x.rec.update(func(r *Report) { r.BundleInForceSeconds = max(r.BundleInForceSeconds, d) })
 	return nil
 }
 
@@ -173,36 +178,36 @@
 
 func (x *script) zoneOut(ctx context.Context) error {
 	x.moveFrom = time.Now()
-	x.s.markOut(outZone)
-	a, err := x.s.Desk.SetZone(ctx, x.s.Deployment.Zones[outZone-1], bundle.ZoneStateOut, "demo", x.s.sign)
+	x.s.markZoneOut(outZone)
+	a, err := x.s.Desk.SetZone(ctx, x.s.Deployment.Zones[outZone-1], bundle.ZoneStateOut, "demo", x.s.signingKey)
 	if err != nil {
 		return err
 	}
-	x.outAt = time.Now()
-	return x.inForce(ctx, a.Version, x.outAt)
+	x.zoneOutAt = time.Now()
+	return x.measureInForce(ctx, a.Version, x.zoneOutAt)
 }
 
-// measureOut records how long after zoneOut the zone's upstreams still started
+// measureZoneOut records how long after zoneOutAt the zone's upstreams still started
 // work or sent a line of a feed. It must run before the zone returns.
-func (x *script) measureOut() {
+func (x *script) measureZoneOut() {
 	var last time.Time
 	for _, u := range x.s.Units() {
 		if t := time.Unix(0, max(u.LastWork.Load(), u.LastSent.Load())); u.zone == outZone && t.After(last) {
 			last = t
 		}
 	}
-	x.rec.do(func(r *Report) { r.ZoneOutSeconds = max(0, last.Sub(x.outAt).Seconds()) })
+	x.rec.update(func(r *Report) { r.ZoneOutSeconds = max(0, last.Sub(x.zoneOutAt).Seconds()) })
 }
 
 func (x *script) zoneIn(ctx context.Context) error {
-	x.measureOut()
-	a, err := x.s.Desk.SetZone(ctx, x.s.Deployment.Zones[outZone-1], bundle.ZoneStateIn, "demo", x.s.sign)
+	x.measureZoneOut()
+	a, err := x.s.Desk.SetZone(ctx, x.s.Deployment.Zones[outZone-1], bundle.ZoneStateIn, "demo", x.s.signingKey)
 	if err != nil {
 		return err
 	}
-	x.s.clearOut(outZone)
+	x.s.clearZoneOut(outZone)
 	x.moveTo = time.Now().Add(moveTail)
-	err = x.inForce(ctx, a.Version, time.Now())
+	err = x.measureInForce(ctx, a.Version, time.Now())
 	x.s.SyncFabric()
 	return err
 }
--- a/demo/silence_test.go
+++ b/demo/silence_test.go
@@ -23,9 +23,9 @@
 	return f, done
 }
 
-// silence makes the fabric drop the datagrams from the flow's caller, those
-// towards it, or both.
-func silence(t *testing.T, f *flow, in, out bool) {
+// dropDatagrams makes the fabric drop the datagrams from the flow's caller (in),
+// those towards it (out), or both.
+func dropDatagrams(t *testing.T, f *flow, in, out bool) {
 	t.Helper()
 	from := f.socket.LocalAddr().(*net.UDPAddr).AddrPort()
 	if !f.s.Fabric.Silence(f.s.ServiceAddress(f.service), from, in, out) {
@@ -42,9 +42,9 @@
 			s, rec := startSite(t, "agency", guard.Off{})
 			f, done := startFeed(t, s, rec, 80)
 			time.Sleep(time.Second)
-			silence(t, f, x.in, x.out)
+			dropDatagrams(t, f, x.in, x.out)
 			time.Sleep(2 * time.Second)
-			if err := f.move(t.Context()); err != nil {
+			if err := f.migrate(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 			if err := <-done; err != nil {
@@ -61,14 +61,14 @@
 	s, rec := startSite(t, "agency", guard.Off{})
 	f, done := startFeed(t, s, rec, 1000)
 	time.Sleep(time.Second)
-	silence(t, f, true, true)
+	dropDatagrams(t, f, true, true)
 	start := time.Now()
 	if err := <-done; err == nil {
 		t.Error("the feed on a silent path ended without an error")
 	}
 	limit, stop := context.WithTimeout(t.Context(), 10*time.Second-time.Since(start))
 	defer stop()
-	if poll(limit, func() bool { return s.feeds() == 0 && s.flows() == 0 }) != nil {
-		t.Errorf("still open after 10 s: %d feeds at upstreams, %d flows at agents", s.feeds(), s.flows())
+	if poll(limit, func() bool { return s.feedCount() == 0 && s.flowCount() == 0 }) != nil {
+		t.Errorf("still open after 10 s: %d feeds at upstreams, %d flows at agents", s.feedCount(), s.flowCount())
 	}
 }
--- a/demo/site.go
+++ b/demo/site.go
@@ -34,34 +34,36 @@
 	Ledger     *standin.Ledger
 	Desk       *operator.Desk
 
-	// Lag returns a random delay for the views that a process receives. It
-	// applies to processes started after it is set; nil means no delay.
+	// Lag returns the delay of each view that a process receives. It applies to
+	// processes started after it is set; nil means no delay.
 	Lag func() time.Duration
 
-	health  string
-	log     *slog.Logger
-	off     guard.Off
-	key     keyring.Secret
-	sign    minisign.PrivateKey
-	trust   string
-	callers *tls.Config
-	serve   *tls.Config
-	net     byte
-	index   byte
-	store   *http.Server
-	url     string
-
+	// healthPath is the path of the agents' health checks; empty means none.
+	healthPath     string
+	log            *slog.Logger
+	off            guard.Off
+	key            keyring.Secret
+	signingKey     minisign.PrivateKey
+	trustedKey     string
+	callerTLS      *tls.Config
+	agentTLS       *tls.Config
+	processOctet   byte
+	siteOctet      byte
+	platformServer *http.Server
+	platformURL    string
+
+	// mu protects the fields below, but for wait.
 	mu        sync.Mutex
-	host      byte
-	balancers []*entry
-	upstreams []*unit
-	ever      []*unit
-	out       map[bundle.ZoneID]bool
+	lastHost  byte
+	balancers []*balancerVM // running
+	upstreams []*upstreamVM // running
+	started   []*upstreamVM // including stopped ones
+	zonesOut  map[bundle.ZoneID]bool
 	wait      sync.WaitGroup
 }
 
-// entry is a balancer with its address and zone.
-type entry struct {
+// balancerVM is a balancer with its address and zone.
+type balancerVM struct {
 	*balancer.Balancer
 	host netip.Addr
 	zone bundle.ZoneID
@@ -69,8 +71,8 @@
 	done chan struct{}
 }
 
-// unit is an upstream with its agent, as they run on one VM.
-type unit struct {
+// upstreamVM is an upstream with its agent, as they run on one VM.
+type upstreamVM struct {
 	*standin.Upstream
 	agent   *agent.Agent
 	opts    agent.Options
@@ -79,44 +81,44 @@
 	server  *http.Server
 	stop    context.CancelFunc
 	done    chan struct{}
-	gone    atomic.Bool
+	killed  atomic.Bool
 }
 
-// Hosts of a site in the network 127.net.index.0/24, and the ports of a process.
-// The fabric has a fixed host; balancers and upstreams get ascending hosts after
-// firstHost.
+// Hosts of a site in the network 127.processOctet.siteOctet.0/24, and the ports of
+// a process. The fabric has a fixed host; balancers and upstreams get ascending
+// hosts after firstHost.
 const (
-	fabricHost = 250
-	firstHost  = 1
-	linkPort   = 7001
-	peerPort   = 7002
-	pagePort   = 7003
+	fabricHost   = 250
+	firstHost    = 1
+	linkPort     = 7001
+	peerPort     = 7002
+	operatorPort = 7003
 )
 
-// sites counts the sites that this process has created.
-var sites atomic.Uint32
+// siteCount counts the sites that this process has created.
+var siteCount atomic.Uint32
 
 // NewSite returns a site on which only the platform and the fabric run.
 func NewSite(d Deployment, l *slog.Logger, off guard.Off) (*Site, error) {
 	s := &Site{
 		Deployment: d, Platform: &standin.Platform{}, Fabric: standin.NewFabric(), Ledger: &standin.Ledger{},
-		log: l, off: off, health: "/healthz", key: keyring.NewSecret(1), host: firstHost,
+		log: l, off: off, healthPath: "/healthz", key: keyring.NewSecret(1), lastHost: firstHost,
 		// The process ID and the site's number keep sites on one machine on
 		// different networks.
-		net: byte(10 + os.Getpid()%240), index: byte(sites.Add(1)),
+		processOctet: byte(10 + os.Getpid()%240), siteOctet: byte(siteCount.Add(1)),
 	}
 	key, v, err := bundle.NewOperator()
 	if err != nil {
 		return nil, err
 	}
-	s.sign, s.trust = key, v.Keys[0].String()
-	if s.serve, s.callers, err = selfSigned(); err != nil {
+	s.signingKey, s.trustedKey = key, v.Keys[0].String()
+	if s.agentTLS, s.callerTLS, err = selfSigned(); err != nil {
 		return nil, err
 	}
 	if err := s.startPlatform(); err != nil {
 		return nil, err
 	}
-	s.Desk = &operator.Desk{Store: &platform.Client{URL: s.url}, Verifier: v}
+	s.Desk = &operator.Desk{Store: &platform.Client{URL: s.platformURL}, Verifier: v}
 	for i := range d.Services {
 		if err := s.Fabric.Open(s.ServiceAddress(i)); err != nil {
 			return nil, eris.Wrap(err, "fabric")
@@ -131,21 +133,23 @@
 	if err != nil {
 		return eris.Wrap(err, "platform")
 	}
-	s.url = "http://" + l.Addr().String()
-	s.store = &http.Server{Handler: s.Platform}
-	s.wait.Go(func() { s.store.Serve(l) })
+	s.platformURL = "http://" + l.Addr().String()
+	s.platformServer = &http.Server{Handler: s.Platform}
+	s.wait.Go(func() { s.platformServer.Serve(l) })
 	return nil
 }
 
 // addr returns the address of a host of the site.
-func (s *Site) addr(host byte) netip.Addr { return netip.AddrFrom4([4]byte{127, s.net, s.index, host}) }
+func (s *Site) addr(host byte) netip.Addr {
+	return netip.AddrFrom4([4]byte{127, s.processOctet, s.siteOctet, host})
+}
 
 // newHost returns the next unused address of the site.
 func (s *Site) newHost() netip.Addr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.host++
-	return s.addr(s.host)
+	s.lastHost++
+	return s.addr(s.lastHost)
 }
 
 // ServiceAddress returns the address at which callers reach the i-th service.
@@ -156,7 +160,7 @@
 // Start accepts the first bundle, starts all balancers and upstreams of the
 // deployment, and waits until the site is ready.
 func (s *Site) Start(ctx context.Context) error {
-	if err := s.acceptText(ctx, s.Deployment.Text(s.addr(fabricHost), s.key)); err != nil {
+	if err := s.acceptBundle(ctx, s.Deployment.Text(s.addr(fabricHost), s.key)); err != nil {
 		return err
 	}
 	zones := len(s.Deployment.Zones)
@@ -177,9 +181,9 @@
 	return s.WaitReady(ctx)
 }
 
-// acceptText signs the bundle text and makes it the accepted bundle.
-func (s *Site) acceptText(ctx context.Context, text []byte) error {
-	b, err := s.Desk.Sign(ctx, text, "demo", s.sign)
+// acceptBundle signs the bundle text and makes it the accepted bundle.
+func (s *Site) acceptBundle(ctx context.Context, text []byte) error {
+	b, err := s.Desk.Sign(ctx, text, "demo", s.signingKey)
 	if err != nil {
 		return err
 	}
@@ -191,8 +195,8 @@
 func (s *Site) options(h netip.Addr, z bundle.ZoneID) process.Options {
 	return process.Options{
 		Zone: z, Link: netip.AddrPortFrom(h, linkPort), Peer: netip.AddrPortFrom(h, peerPort),
-		Operator: netip.AddrPortFrom(h, pagePort), Platform: s.url,
-		Keys: []string{s.key.Reveal()}, Trust: []string{s.trust}, Seeds: s.seeds(),
+		Operator: netip.AddrPortFrom(h, operatorPort), Platform: s.platformURL,
+		Keys: []string{s.key.Reveal()}, Trust: []string{s.trustedKey}, Seeds: s.seeds(),
 	}
 }
 
@@ -209,24 +213,24 @@
 
 // AddBalancer starts a balancer in the zone. It receives no datagrams of callers
 // before the next SyncFabric.
-func (s *Site) AddBalancer(z bundle.ZoneID) (*entry, error) {
+func (s *Site) AddBalancer(z bundle.ZoneID) (*balancerVM, error) {
 	h := s.newHost()
 	b, err := balancer.New(balancer.Options{Options: s.options(h, z), Bind: h}, s.log, s.off)
 	if err != nil {
 		return nil, err
 	}
 	b.Node.Lag = s.Lag
-	e := &entry{Balancer: b, host: h, zone: z, done: make(chan struct{})}
-	e.stop = s.begin("balancer", b.Run, e.done)
+	e := &balancerVM{Balancer: b, host: h, zone: z, done: make(chan struct{})}
+	e.stop = s.runProgram("balancer", b.Run, e.done)
 	s.mu.Lock()
 	s.balancers = append(s.balancers, e)
 	s.mu.Unlock()
 	return e, nil
 }
 
-// begin runs a program in the background and closes done when it returns. The
+// runProgram runs a program in the background and closes done when it returns. The
 // returned function stops the program gracefully.
-func (s *Site) begin(name string, run func(context.Context) error, done chan struct{}) context.CancelFunc {
+func (s *Site) runProgram(name string, run func(context.Context) error, done chan struct{}) context.CancelFunc {
 	ctx, stop := context.WithCancel(context.Background())
 	s.wait.Go(func() {
 		defer close(done)
@@ -239,9 +243,9 @@
 
 // SyncFabric makes the fabric distribute datagrams over the balancers that report
 // to be ready, and over the extra ones.
-func (s *Site) SyncFabric(extra ...*entry) {
+func (s *Site) SyncFabric(extra ...*balancerVM) {
 	s.mu.Lock()
-	var live []*entry
+	var live []*balancerVM
 	for _, b := range s.balancers {
 		if b.Status().Ready {
 			live = append(live, b)
@@ -258,20 +262,20 @@
 }
 
 // Kill stops a balancer without a graceful shutdown, as a crash does.
-func (s *Site) Kill(e *entry) {
+func (s *Site) Kill(e *balancerVM) {
 	s.removeBalancer(e)
 	e.Kill()
 	<-e.done
 }
 
 // StopBalancer stops a balancer gracefully.
-func (s *Site) StopBalancer(e *entry) {
+func (s *Site) StopBalancer(e *balancerVM) {
 	e.stop()
 	<-e.done
 	s.removeBalancer(e)
 }
 
-func (s *Site) removeBalancer(e *entry) {
+func (s *Site) removeBalancer(e *balancerVM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, b := range s.balancers {
@@ -283,28 +287,29 @@
 }
 
 // Units returns the running upstreams.
-func (s *Site) Units() []*unit {
+func (s *Site) Units() []*upstreamVM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*unit(nil), s.upstreams...)
+	return append([]*upstreamVM(nil), s.upstreams...)
 }
 
 // Balancers returns the running balancers.
-func (s *Site) Balancers() []*entry {
+func (s *Site) Balancers() []*balancerVM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*entry(nil), s.balancers...)
+	return append([]*balancerVM(nil), s.balancers...)
 }
 
-// all returns all upstreams that were started, including stopped ones.
-func (s *Site) all() []*unit {
+// startedUpstreams returns all upstreams that were started, including stopped
+// ones.
+func (s *Site) startedUpstreams() []*upstreamVM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]*unit(nil), s.ever...)
+	return append([]*upstreamVM(nil), s.started...)
 }
 
-// unitOf returns the running unit of the agent, or nil.
-func (s *Site) unitOf(agent string) *unit {
+// upstreamOf returns the running upstream of the agent, or nil.
+func (s *Site) upstreamOf(agent string) *upstreamVM {
 	for _, u := range s.Units() {
 		if string(u.agent.Node.Self().ID) == agent {
 			return u
@@ -313,66 +318,66 @@
 	return nil
 }
 
-// feeds returns the number of feeds that are open at the running upstreams.
-func (s *Site) feeds() (n int64) {
+// feedCount returns the number of feeds that are open at the running upstreams.
+func (s *Site) feedCount() (n int64) {
 	for _, u := range s.Units() {
 		n += u.Feeds.Load()
 	}
 	return n
 }
 
-// flows returns the number of flows that are open at the running agents.
-func (s *Site) flows() (n int) {
+// flowCount returns the number of flows that are open at the running agents.
+func (s *Site) flowCount() (n int) {
 	for _, u := range s.Units() {
 		n += u.agent.Counts().Flows
 	}
 	return n
 }
 
-// markOut records that operators have taken the zone out of service, so that the
-// end of its flows is expected.
-func (s *Site) markOut(z bundle.ZoneID) {
+// markZoneOut records that operators have taken the zone out of service, so that
+// the end of its flows is expected.
+func (s *Site) markZoneOut(z bundle.ZoneID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.out == nil {
-		s.out = map[bundle.ZoneID]bool{}
+	if s.zonesOut == nil {
+		s.zonesOut = map[bundle.ZoneID]bool{}
 	}
-	s.out[z] = true
+	s.zonesOut[z] = true
 }
 
-// clearOut records that the zone is in service again.
-func (s *Site) clearOut(z bundle.ZoneID) {
+// clearZoneOut records that the zone is in service again.
+func (s *Site) clearZoneOut(z bundle.ZoneID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.out, z)
+	delete(s.zonesOut, z)
 }
 
-// wasOut reports whether the zone is out of service.
-func (s *Site) wasOut(z bundle.ZoneID) bool {
+// isZoneOut reports whether the zone is out of service.
+func (s *Site) isZoneOut(z bundle.ZoneID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.out[z]
+	return s.zonesOut[z]
 }
 
-// anyOut reports whether any zone is out of service.
-func (s *Site) anyOut() bool {
+// isAnyZoneOut reports whether any zone is out of service.
+func (s *Site) isAnyZoneOut() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.out) > 0
+	return len(s.zonesOut) > 0
 }
 
 // wasKilled reports whether the agent's VM was killed.
 func (s *Site) wasKilled(agent string) bool {
-	for _, u := range s.all() {
-		if u.gone.Load() && string(u.agent.Node.Self().ID) == agent {
+	for _, u := range s.startedUpstreams() {
+		if u.killed.Load() && string(u.agent.Node.Self().ID) == agent {
 			return true
 		}
 	}
 	return false
 }
 
-// readyPoll is the interval at which poll checks its condition.
-const readyPoll = 20 * time.Millisecond
+// pollInterval is the interval at which poll checks its condition.
+const pollInterval = 20 * time.Millisecond
 
 // InForce waits until every process has accepted the bundle version or a later
 // one.
@@ -416,7 +421,7 @@
 
 // poll waits until the condition holds or the context ends.
 func poll(ctx context.Context, ok func() bool) error {
-	t := time.NewTicker(readyPoll)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for !ok() {
 		select {
@@ -437,6 +442,6 @@
 		s.Kill(b)
 	}
 	s.Fabric.Close()
-	s.store.Close()
+	s.platformServer.Close()
 	s.wait.Wait()
 }
--- a/demo/witness.go
+++ b/demo/witness.go
@@ -9,20 +9,20 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// shortBody is the largest request body, in bytes, for which the response time
-// reflects the state of the upstream rather than the upload.
-const shortBody = 64 << 10
+// maxShortBody is the size in bytes of the largest request body for which the
+// response time reflects the state of the upstream, not the time of the upload.
+const maxShortBody = 64 << 10
 
-// witness is the transport from an agent to its upstream. It reports each response
-// that the agent has received to the upstream stand-in, so that only requests
-// which the agent sent despite a known cold start count as its errors.
-type witness struct {
+// observingTransport is the transport from an agent to its upstream. It reports
+// each response that the agent has received to the upstream stand-in, so that only
+// requests which the agent sent despite a known cold start count as its errors.
+type observingTransport struct {
 	http.RoundTripper
 	up *standin.Upstream
 }
 
 // RoundTrip sends the request with a header that holds the time of sending.
-func (w witness) RoundTrip(r *http.Request) (*http.Response, error) {
+func (w observingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.Header.Get(upstream.HeaderRequest) == "" {
 		return w.RoundTripper.RoundTrip(r) // a health check
 	}
@@ -35,14 +35,14 @@
 	}
 	w.up.Heard(standin.Heard{
 		Sent: sent, Took: time.Since(sent),
-		Short: r.ContentLength >= 0 && r.ContentLength <= shortBody,
+		Short: r.ContentLength >= 0 && r.ContentLength <= maxShortBody,
 		Shed:  a.StatusCode == http.StatusServiceUnavailable,
 	})
 	return a, nil
 }
 
 // CloseIdleConnections closes the connections that no request uses.
-func (w witness) CloseIdleConnections() {
+func (w observingTransport) CloseIdleConnections() {
 	if c, ok := w.RoundTripper.(interface{ CloseIdleConnections() }); ok {
 		c.CloseIdleConnections()
 	}
