--- a/demo/bench_test.go
+++ b/demo/bench_test.go
@@ -11,9 +11,11 @@
 	"pomeloway.example/pomeloway/guard"
 )
 
-const echoed = 64 << 20
+// echoSize is the number of bytes that one echo request sends.
+const echoSize = 64 << 20
 
-// pattern is a body that can be checked without being held.
+// pattern generates a body of a given size that can be verified without storing
+// it.
 type pattern struct{ left, at int }
 
 func (p *pattern) Read(b []byte) (int, error) {
@@ -28,8 +30,9 @@
 	return n, nil
 }
 
-// BenchmarkSprayed echoes 64 MiB over one flow, with one balancer and with three
-// that each datagram is sprayed over; the difference is what reordering costs.
+// BenchmarkSprayed echoes 64 MiB over one flow through one balancer, and through
+// three that the fabric distributes its datagrams over at random. The difference
+// is the cost of reordering.
 func BenchmarkSprayed(b *testing.B) {
 	for name, balancers := range map[string]int{"one": 1, "three": 3} {
 		b.Run(name, func(b *testing.B) {
@@ -40,7 +43,7 @@
 				b.Fatal(err)
 			}
 			defer f.close()
-			b.SetBytes(2 * echoed)
+			b.SetBytes(2 * echoSize)
 			for b.Loop() {
 				echo(b, f)
 			}
@@ -48,10 +51,10 @@
 	}
 }
 
-// post sends so many bytes and returns the answer.
+// post sends size bytes and returns the answer.
 func post(ctx context.Context, b *testing.B, f *flow, path string, size int) *http.Response {
 	b.Helper()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+callerName+path, &pattern{left: size})
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+serverName+path, &pattern{left: size})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -62,15 +65,16 @@
 	return a
 }
 
+// echo sends a pattern and verifies that the same bytes come back.
 func echo(b *testing.B, f *flow) {
 	ctx, stop := context.WithTimeout(b.Context(), 2*time.Minute)
 	defer stop()
-	a := post(ctx, b, f, "/echo", echoed)
+	a := post(ctx, b, f, "/echo", echoSize)
 	defer a.Body.Close()
 	want, got := sha256.New(), sha256.New()
-	io.Copy(want, &pattern{left: echoed})
+	io.Copy(want, &pattern{left: echoSize})
 	n, err := io.Copy(got, a.Body)
-	if err != nil || n != echoed || string(want.Sum(nil)) != string(got.Sum(nil)) {
-		b.Fatalf("%d bytes came back, %v", n, err)
+	if err != nil || n != echoSize || string(want.Sum(nil)) != string(got.Sum(nil)) {
+		b.Fatalf("echo returned %d bytes, or wrong ones: %v", n, err)
 	}
 }
--- a/demo/flow.go
+++ b/demo/flow.go
@@ -24,12 +24,13 @@
 	"pomeloway.example/pomeloway/standin"
 )
 
-// Settings of callers' flows: they find a silent path as fast as the agents.
+// Timeouts of callers. The idle timeout and the keep-alive period make callers
+// detect a path that drops all datagrams as fast as the agents do.
 const (
-	callerIdle      = 8 * time.Second
-	callerKeepAlive = 2 * time.Second
-	openTimeout     = 6 * time.Second
-	requestTimeout  = 20 * time.Second
+	callerIdleTimeout = 8 * time.Second
+	callerKeepAlive   = 2 * time.Second
+	openTimeout       = 6 * time.Second
+	requestTimeout    = 20 * time.Second
 )
 
 // flow is one caller's QUIC connection to a service.
@@ -40,19 +41,19 @@
 	conn    *quic.Conn
 	h3      *http3.ClientConn
 	tr      *quic.Transport
-	// socket is the flow's own; nil if it shares a transport with others.
+	// socket is the UDP socket of this flow; nil if the flow shares a transport.
 	socket *net.UDPConn
 	zone   atomic.Int32
-	// workZone is the zone of the upstream that answered last; it is another than
-	// the flow's if the request was passed on.
-	workZone atomic.Int32
-	at       atomic.Pointer[string]
-	counted  bool
-	// moved closes the ports that the flow was moved to.
-	moved []func()
+	// upstreamZone is the zone of the upstream that sent the last answer. It differs
+	// from zone if the agent forwarded the request to another agent.
+	upstreamZone atomic.Int32
+	agentID      atomic.Pointer[string]
+	counted      bool
+	// closers holds functions that close the ports which the flow has migrated to.
+	closers []func()
 }
 
-// openFlow opens a flow from a port of its own, or tells why not.
+// openFlow opens a flow from a new port.
 func openFlow(ctx context.Context, s *Site, rec *recorder, service int) (*flow, error) {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -61,43 +62,45 @@
 	return (&flow{s: s, rec: rec, service: service, socket: c, tr: &quic.Transport{Conn: c}}).open(ctx)
 }
 
-// openShared opens a flow from a port that it shares with others, as people
-// behind one address do.
+// openShared opens a flow on a transport that other flows use too, so that they
+// share one source address and port.
 func openShared(ctx context.Context, s *Site, rec *recorder, service int, tr *quic.Transport) (*flow, error) {
 	return (&flow{s: s, rec: rec, service: service, tr: tr}).open(ctx)
 }
 
+// open dials the service and makes a first request.
 func (f *flow) open(ctx context.Context) (*flow, error) {
 	ctx, stop := context.WithTimeout(ctx, openTimeout)
 	defer stop()
 	var err error
-	f.conn, err = f.tr.Dial(ctx, net.UDPAddrFromAddrPort(f.s.ServiceAddress(f.service)), f.s.callers, &quic.Config{
-		MaxIdleTimeout: callerIdle, KeepAlivePeriod: callerKeepAlive, HandshakeIdleTimeout: openTimeout,
+	f.conn, err = f.tr.Dial(ctx, net.UDPAddrFromAddrPort(f.s.ServiceAddress(f.service)), f.s.callerTLS, &quic.Config{
+		MaxIdleTimeout: callerIdleTimeout, KeepAlivePeriod: callerKeepAlive, HandshakeIdleTimeout: openTimeout,
 	})
 	if err != nil {
 		f.close()
 		return nil, err
 	}
 	f.h3 = (&http3.Transport{}).NewClientConn(f.conn)
-	f.rec.do(func(r *Report) { r.FlowsOpened++ })
-	// The first answer tells where the flow ends, so that a flow which is given
-	// up with its zone later can be told from one that broke.
+	f.rec.update(func(r *Report) { r.FlowsOpened++ })
+	// The first answer names the agent and the zone of the flow. They are needed
+	// to distinguish a flow that is closed with its zone from one that broke.
 	if _, err := f.do(context.WithoutCancel(ctx), http.MethodPost, agent.PathKey, nil, ""); err != nil {
-		f.note(f.classify(context.Background(), err), err, "first request")
+		f.countFailure(f.classify(context.Background(), err), err, "first request")
 		f.close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// move takes the flow to a new port, as a caller does whose path went silent.
-func (f *flow) move(ctx context.Context) error {
+// migrate moves the flow to a new port, as a caller does when its path has become
+// silent.
+func (f *flow) migrate(ctx context.Context) error {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return err
 	}
 	t := &quic.Transport{Conn: c}
-	f.moved = append(f.moved, func() { t.Close(); c.Close() })
+	f.closers = append(f.closers, func() { t.Close(); c.Close() })
 	p, err := f.conn.AddPath(t)
 	if err != nil {
 		return err
@@ -110,34 +113,36 @@
 	return p.Switch()
 }
 
+// close closes the connection and all ports of the flow.
 func (f *flow) close() {
 	if f.conn != nil {
 		f.conn.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
 	}
-	if p := f.at.Load(); p != nil {
-		f.rec.flow(f.name(), *p, -1)
+	if p := f.agentID.Load(); p != nil {
+		f.rec.addFlows(f.name(), *p, -1)
 	}
 	if f.socket != nil {
 		f.tr.Close()
 		f.socket.Close()
 	}
-	for _, c := range f.moved {
+	for _, c := range f.closers {
 		c()
 	}
 }
 
+// name returns the name of the service.
 func (f *flow) name() string { return string(f.s.Deployment.Services[f.service].Name) }
 
-// result is what came of a request.
+// result is the answer to a request.
 type result struct {
-	status  int
-	outcome agent.Outcome
-	body    []byte
-	header  http.Header
-	retry   time.Duration
+	status     int
+	outcome    agent.Outcome
+	body       []byte
+	header     http.Header
+	retryAfter time.Duration
 }
 
-// do makes a request and reads its answer whole.
+// do sends a request and reads the whole answer.
 func (f *flow) do(ctx context.Context, method, path string, body []byte, key string) (*result, error) {
 	ctx, stop := context.WithTimeout(ctx, requestTimeout)
 	defer stop()
@@ -154,8 +159,10 @@
 	return &result{a.StatusCode, agent.Outcome(a.Header.Get(agent.HeaderOutcome)), b, a.Header, time.Duration(s) * time.Second}, nil
 }
 
+// send sends a request and returns the answer with its body unread. It records
+// the zones and the agent that the answer names.
 func (f *flow) send(ctx context.Context, method, path string, body []byte, key string) (*http.Response, error) {
-	r, err := http.NewRequestWithContext(ctx, method, "https://"+callerName+path, bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, method, "https://"+serverName+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -171,93 +178,95 @@
 		f.zone.Store(int32(z))
 	}
 	z := slices.Index(f.s.Deployment.Zones, bundle.Name(a.Header.Get("Upstream-Zone")))
-	f.workZone.Store(int32(z + 1))
-	f.place(a.Header.Get(agent.HeaderAgent))
+	f.upstreamZone.Store(int32(z + 1))
+	f.countAtAgent(a.Header.Get(agent.HeaderAgent))
 	return a, nil
 }
 
-// place counts the flow at its agent, once.
-func (f *flow) place(at string) {
-	if at != "" && !f.counted {
+// countAtAgent counts the flow at its agent unless it is counted already.
+func (f *flow) countAtAgent(agentID string) {
+	if agentID != "" && !f.counted {
 		f.counted = true
-		f.at.Store(&at)
-		f.rec.flow(f.name(), at, 1)
+		f.agentID.Store(&agentID)
+		f.rec.addFlows(f.name(), agentID, 1)
 	}
 }
 
-// fault is how a request failed.
-type fault uint8
+// failure is the reason why a request failed.
+type failure uint8
 
 const (
-	// faultFlow: the flow broke under the request.
-	faultFlow fault = iota
-	// faultZone: the flow was given up with its availability zone.
-	faultZone
-	// faultUpstream: the flow's VM was killed by the script.
-	faultUpstream
-	// faultMoved: the agent asked for a new flow before it took the request.
-	faultMoved
-	// faultTime: the caller itself gave up.
-	faultTime
+	// failureBroken means that the flow broke during the request.
+	failureBroken failure = iota
+	// failureZoneOut means that the availability zone of the flow was taken out.
+	failureZoneOut
+	// failureUpstreamKilled means that the VM of the flow's upstream was killed.
+	failureUpstreamKilled
+	// failureRejected means that the agent rejected the request and asked for a new
+	// flow.
+	failureRejected
+	// failureCanceled means that the context of the caller ended.
+	failureCanceled
 )
 
-// classify tells why a request failed.
-func (f *flow) classify(ctx context.Context, err error) fault {
+// classify returns the reason why a request failed.
+func (f *flow) classify(ctx context.Context, err error) failure {
 	var app *quic.ApplicationError
 	var h *http3.Error
 	switch {
 	case ctx.Err() != nil:
-		return faultTime
+		return failureCanceled
 	case errors.As(err, &h) && h.ErrorCode == http3.ErrCodeRequestRejected:
-		return faultMoved
+		return failureRejected
 	case errors.As(err, &app) && strings.Contains(app.ErrorMessage, "zone out"):
-		return faultZone
-	case wasReset(err) && f.s.anyOut():
-		return faultZone // it was opened there, and got no answer that says so
-	case f.s.wasOut(bundle.ZoneID(f.zone.Load())), f.s.wasOut(bundle.ZoneID(f.workZone.Load())):
-		return faultZone
+		return failureZoneOut
+	case wasReset(err) && f.s.isAnyZoneOut():
+		return failureZoneOut // opened there, but no answer named the zone yet
+	case f.s.isZoneOut(bundle.ZoneID(f.zone.Load())), f.s.isZoneOut(bundle.ZoneID(f.upstreamZone.Load())):
+		return failureZoneOut
 	case strings.Contains(err.Error(), "graceful shutdown"):
-		return faultMoved
+		return failureRejected
 	case errors.As(err, &h) && !h.Remote && h.ErrorCode == http3.ErrCodeNoError:
-		return faultMoved
+		return failureRejected
 	}
-	if p := f.at.Load(); p != nil && f.s.wasKilled(*p) {
-		return faultUpstream
+	if p := f.agentID.Load(); p != nil && f.s.wasKilled(*p) {
+		return failureUpstreamKilled
 	}
-	return faultFlow
+	return failureBroken
 }
 
-// wasReset reports whether the flow ended by a stateless reset.
+// wasReset reports whether the flow was closed by a stateless reset.
 func wasReset(err error) bool {
 	var r *quic.StatelessResetError
 	return errors.As(err, &r)
 }
 
-// note counts a fault; it returns whether the flow must be opened anew.
-func (f *flow) note(x fault, err error, what string) {
+// countFailure counts a failed request in the report.
+func (f *flow) countFailure(x failure, err error, what string) {
 	switch x {
-	case faultFlow:
-		f.rec.cause(fmt.Sprintf("%s: %v", what, err))
-		f.rec.do(func(r *Report) { r.BrokenFlows++ })
-	case faultZone:
-		f.rec.do(func(r *Report) { r.FlowsGivenUpWithZone++ })
-	case faultUpstream:
-		f.rec.do(func(r *Report) { r.FlowsLostWithUpstream++ })
+	case failureBroken:
+		f.rec.addCause(fmt.Sprintf("%s: %v", what, err))
+		f.rec.update(func(r *Report) { r.BrokenFlows++ })
+	case failureZoneOut:
+		f.rec.update(func(r *Report) { r.FlowsGivenUpWithZone++ })
+	case failureUpstreamKilled:
+		f.rec.update(func(r *Report) { r.FlowsLostWithUpstream++ })
 	}
 }
 
-// errFeedRefused says that a feed was not begun; the caller comes back.
+// errFeedRefused is returned when the feed was refused before its first line; the
+// caller may retry.
 var errFeedRefused = errors.New("feed was refused")
 
-// feed reads a feed to its last line.
-func (f *flow) feed(ctx context.Context, me string, lines int, every time.Duration) error {
-	a, err := f.send(ctx, http.MethodGet, fmt.Sprintf("/feed?caller=%s&lines=%d&every=%s", me, lines, every), nil, "")
+// feed requests a feed and reads it to its last line.
+func (f *flow) feed(ctx context.Context, callerName string, lines int, every time.Duration) error {
+	a, err := f.send(ctx, http.MethodGet, fmt.Sprintf("/feed?caller=%s&lines=%d&every=%s", callerName, lines, every), nil, "")
 	if err != nil {
 		return err
 	}
 	defer a.Body.Close()
 	if a.StatusCode != http.StatusOK {
-		f.rec.do(func(r *Report) { r.RequestsRefused++ })
+		f.rec.update(func(r *Report) { r.RequestsRefused++ })
 		return errFeedRefused
 	}
 	d := json.NewDecoder(a.Body)
@@ -266,8 +275,8 @@
 		if err := d.Decode(&l); err != nil {
 			return eris.Wrapf(err, "feed after %d of %d lines", seq-1, lines)
 		}
-		wrong := l.Seq != seq || l.Caller != me || l.Service != f.name()
-		f.rec.do(func(r *Report) {
+		wrong := l.Seq != seq || l.Caller != callerName || l.Service != f.name()
+		f.rec.update(func(r *Report) {
 			r.FeedLines++
 			if wrong {
 				r.RequestsWrong++
--- a/demo/race_off_test.go
+++ b/demo/race_off_test.go
@@ -2,4 +2,5 @@
 
 package demo
 
-const scale = 1
+// callerDivisor divides the number of callers in a test.
+const callerDivisor = 1
--- a/demo/report.go
+++ b/demo/report.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Report is what callers and upstreams measured. Nothing in it is taken from
-// what balancers or agents believe.
+// Report holds the measurements of callers, upstreams and the platform. None of
+// them comes from the state of balancers or agents.
 type Report struct {
 	Deployment            string             `json:"deployment"`
 	Seconds               float64            `json:"seconds"`
@@ -50,25 +50,27 @@
 	Causes                map[string]int     `json:"causes,omitempty"`
 }
 
-// Second is what came of the requests that ended in one second of a zone's move.
+// Second sums up the requests that ended in one second of a zone's move, which
+// lasts from the command to take the zone out until shortly after its return.
 type Second struct {
-	// Second counts from the operator's command to take the zone out.
+	// Second is the number of whole seconds since the operator's command to take
+	// the zone out.
 	Second        int     `json:"second"`
 	Asked         int     `json:"asked"`
 	AnsweredShare float64 `json:"answeredShare"`
 	P99Seconds    float64 `json:"p99Seconds"`
 }
 
-// Limits that an invariant of the report is held to.
+// Limits of the invariants, in seconds but for maxFailedOpenings.
 const (
-	zoneOutLimit    = 5.0
-	inForceLimit    = 19.0
-	newWorkLimit    = 3.0
-	flowsFailedMost = 0
+	maxZoneOutSeconds = 5.0
+	maxInForceSeconds = 19.0
+	maxNewWorkSeconds = 3.0
+	maxFailedOpenings = 0
 )
 
-// judge lists the invariants that the run broke.
-func (r *Report) judge() {
+// checkInvariants sets Broken to the invariants that the run violated.
+func (r *Report) checkInvariants() {
 	r.Broken = []string{}
 	add := func(broken bool, text string, v any) {
 		if broken {
@@ -82,10 +84,10 @@
 	add(r.Misrouted > 0, "requests reached another service", r.Misrouted)
 	add(r.OverSlots > 0, "work beyond an upstream's slots", r.OverSlots)
 	add(r.OverCold > 0, "work beyond what a cold upstream bears", r.OverCold)
-	add(r.ZoneOutSeconds > zoneOutLimit, "zone that is out still served, seconds", r.ZoneOutSeconds)
-	add(r.BundleInForceSeconds > inForceLimit, "bundle in force late, seconds", r.BundleInForceSeconds)
-	add(r.NewWorkAfterLeaving > newWorkLimit, "leaving upstream got new work, seconds", r.NewWorkAfterLeaving)
-	add(r.FlowsFailedToOpen > flowsFailedMost, "flows failed to open", r.FlowsFailedToOpen)
+	add(r.ZoneOutSeconds > maxZoneOutSeconds, "zone that is out still served, seconds", r.ZoneOutSeconds)
+	add(r.BundleInForceSeconds > maxInForceSeconds, "bundle in force late, seconds", r.BundleInForceSeconds)
+	add(r.NewWorkAfterLeaving > maxNewWorkSeconds, "leaving upstream got new work, seconds", r.NewWorkAfterLeaving)
+	add(r.FlowsFailedToOpen > maxFailedOpenings, "flows failed to open", r.FlowsFailedToOpen)
 	add(r.RequestsAnswered == 0, "no request was answered", r.RequestsAnswered)
 }
 
@@ -96,17 +98,20 @@
 	return e.Encode(r)
 }
 
-// recorder collects what callers see.
+// recorder collects the measurements of the callers.
 type recorder struct {
-	mu     sync.Mutex
-	r      Report
-	took   []sample
-	flows  map[string]map[string]int // open flows by service and upstream
+	mu      sync.Mutex
+	r       Report
+	samples []sample
+	flows   map[string]map[string]int // open flows by service and agent
+	// shares holds, by service, the samples of the largest flow count of an
+	// upstream over the mean.
 	shares map[string][]float64
+	// causes counts failures by their error text.
 	causes map[string]int
 }
 
-// sample is one finished request.
+// sample records one finished request.
 type sample struct {
 	at       time.Time
 	took     time.Duration
@@ -117,31 +122,32 @@
 	return &recorder{flows: map[string]map[string]int{}, shares: map[string][]float64{}, causes: map[string]int{}}
 }
 
-// do changes the report under the lock.
-func (r *recorder) do(f func(*Report)) {
+// update calls f on the report while holding the lock.
+func (r *recorder) update(f func(*Report)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.r)
 }
 
-func (r *recorder) cause(text string) {
+// addCause counts a failure under its text.
+func (r *recorder) addCause(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.causes[text]++
 }
 
-// request notes a request's end.
-func (r *recorder) request(took time.Duration, answered bool) {
+// addRequest records a finished request.
+func (r *recorder) addRequest(took time.Duration, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.took = append(r.took, sample{time.Now(), took, answered})
+	r.samples = append(r.samples, sample{time.Now(), took, answered})
 	if answered {
 		r.r.RequestsAnswered++
 	}
 }
 
-// flow counts the open flows that callers found at an upstream.
-func (r *recorder) flow(service, up string, n int) {
+// addFlows adds n to the number of open flows at an agent of the service.
+func (r *recorder) addFlows(service, up string, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.flows[service]
@@ -152,10 +158,12 @@
 	m[up] += n
 }
 
-// minFlows is how many flows for each upstream make a share worth sampling.
-const minFlows = 4
+// minFlowsPerUpstream is the mean number of flows per upstream below which shares
+// are not sampled.
+const minFlowsPerUpstream = 4
 
-// sampleShares notes the busiest upstream over the mean, among those given.
+// sampleShares records, for each service, the largest number of flows at one of
+// the given agents over the mean.
 func (r *recorder) sampleShares(ups map[string][]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,14 +173,15 @@
 			c := r.flows[svc][n]
 			most, sum = max(most, c), sum+c
 		}
-		if len(names) > 0 && sum >= minFlows*len(names) {
+		if len(names) > 0 && sum >= minFlowsPerUpstream*len(names) {
 			r.shares[svc] = append(r.shares[svc], float64(most)*float64(len(names))/float64(sum))
 		}
 	}
 }
 
-// report returns the finished report.
-func (r *recorder) report(from, to time.Time) Report {
+// finish returns the report of all requests so far. The zone's move lasts from the
+// first time until the second.
+func (r *recorder) finish(from, to time.Time) Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := r.r
@@ -183,27 +192,27 @@
 		out.Imbalance[s] = x[len(x)/2]
 	}
 	var all []time.Duration
-	for _, s := range r.took {
+	for _, s := range r.samples {
 		if s.answered {
 			all = append(all, s.took)
 		}
 	}
 	out.P50Seconds, out.P99Seconds = quantile(all, 0.5), quantile(all, 0.99)
-	whole := window(r.took, from, to)
+	whole := summarize(r.samples, from, to)
 	out.MoveAnsweredShare, out.MoveP99Seconds = whole.AnsweredShare, whole.P99Seconds
 	for at := from; at.Before(to); at = at.Add(time.Second) {
-		w := window(r.took, at, at.Add(time.Second))
+		w := summarize(r.samples, at, at.Add(time.Second))
 		w.Second = len(out.MoveSeconds)
 		out.MoveSeconds = append(out.MoveSeconds, w)
 	}
 	return out
 }
 
-// window sums up the requests that ended from the one time until the other.
-func window(took []sample, from, to time.Time) Second {
+// summarize sums up the requests that ended at or after from and before to.
+func summarize(samples []sample, from, to time.Time) Second {
 	var w Second
 	var answered []time.Duration
-	for _, s := range took {
+	for _, s := range samples {
 		if s.at.Before(from) || !s.at.Before(to) {
 			continue
 		}
@@ -219,6 +228,8 @@
 	return w
 }
 
+// quantile returns the q-quantile of the durations in seconds, or 0 if there are
+// none. It sorts d.
 func quantile(d []time.Duration, q float64) float64 {
 	if len(d) == 0 {
 		return 0
--- a/demo/request_bench_test.go
+++ b/demo/request_bench_test.go
@@ -16,17 +16,17 @@
 	"pomeloway.example/pomeloway/guard"
 )
 
-// benchSite starts a site of one service whose upstreams are warm.
+// benchSite starts a site with one service and warm upstreams.
 func benchSite(b *testing.B, z ServiceSize) *Site {
 	b.Helper()
 	d := Deployment{Name: "bench", Zones: Deployments["agency"].Zones, Balancers: 3, Services: []ServiceSize{z}}
 	s, _ := startDeployment(b, d, guard.Off{})
-	warm(b, s)
+	warmAll(b, s)
 	return s
 }
 
-// warm orders until no upstream is cold and every agent knows it.
-func warm(b *testing.B, s *Site) {
+// warmAll sends requests until no upstream is cold and every agent knows it.
+func warmAll(b *testing.B, s *Site) {
 	b.Helper()
 	ctx, stop := context.WithTimeout(b.Context(), startTimeout)
 	defer stop()
@@ -45,10 +45,11 @@
 	}
 	w.Wait()
 	if !isWarm(s) {
-		b.Fatal("the upstreams did not become warm")
+		b.Fatal("the upstreams are still cold at the start timeout")
 	}
 }
 
+// isWarm reports whether all upstreams and their agents use all slots.
 func isWarm(s *Site) bool {
 	for _, u := range s.Units() {
 		if u.Cold() || u.agent.Counts().Load.Slots < u.Slots {
@@ -58,15 +59,15 @@
 	return true
 }
 
-// work has callers make requests one after another for the time, and returns how
-// long each took.
-func work(b *testing.B, d time.Duration, ask []func(context.Context) error) []time.Duration {
+// measureRequests calls each function repeatedly, concurrently with the others, for
+// the duration d. It returns how long each call took.
+func measureRequests(b *testing.B, d time.Duration, requests []func(context.Context) error) []time.Duration {
 	b.Helper()
 	ctx, stop := context.WithTimeout(b.Context(), d)
 	defer stop()
-	took := make([][]time.Duration, len(ask))
+	took := make([][]time.Duration, len(requests))
 	var w sync.WaitGroup
-	for i, f := range ask {
+	for i, f := range requests {
 		w.Go(func() {
 			for ctx.Err() == nil {
 				start := time.Now()
@@ -82,21 +83,22 @@
 	return slices.Concat(took...)
 }
 
-// BenchmarkRequests has the same callers ask upstreams that answer at once,
-// first directly over HTTP/1.1, then through fabric, balancer and agent over
-// HTTP/3, turn by turn in one run. All ends share the machine's processors.
+// BenchmarkRequests compares the latency of upstreams that answer at once when
+// callers reach them directly over HTTP/1.1, and through fabric, balancer and
+// agent over HTTP/3. The two alternate within one run. All programs share the
+// machine's processors.
 func BenchmarkRequests(b *testing.B) {
 	for _, callers := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
 			s := benchSite(b, ServiceSize{Name: "web", Upstreams: 3, Slots: 64, Connections: 2000, Work: time.Nanosecond})
 			direct, through := directCallers(b, s, callers), throughCallers(b, s, callers)
 			var d, t []time.Duration
-			const turn = time.Second
+			const round = time.Second
 			for b.Loop() {
-				d = append(d, work(b, turn, direct)...)
-				t = append(t, work(b, turn, through)...)
+				d = append(d, measureRequests(b, round, direct)...)
+				t = append(t, measureRequests(b, round, through)...)
 			}
-			seconds := turn.Seconds() * float64(b.N)
+			seconds := round.Seconds() * float64(b.N)
 			b.ReportMetric(float64(len(d))/seconds, "direct/s")
 			b.ReportMetric(float64(len(t))/seconds, "through/s")
 			for name, q := range map[string]float64{"p50": 0.5, "p99": 0.99, "p99.9": 0.999} {
@@ -107,6 +109,7 @@
 	}
 }
 
+// directCallers returns functions that request the screen from an upstream.
 func directCallers(b *testing.B, s *Site, n int) (out []func(context.Context) error) {
 	units := s.Units()
 	tr := &http.Transport{MaxIdleConnsPerHost: n}
@@ -130,6 +133,7 @@
 	return out
 }
 
+// throughCallers returns functions that request the screen on a flow each.
 func throughCallers(b *testing.B, s *Site, n int) (out []func(context.Context) error) {
 	for range n {
 		f, err := openFlow(b.Context(), s, newRecorder(), 0)
@@ -148,8 +152,8 @@
 	return out
 }
 
-// BenchmarkSlots has more callers than slots and shows the share of slots that
-// upstreams work on, as the upstreams count it.
+// BenchmarkSlots runs twice as many callers as slots and reports the share of
+// slots in use, as counted by the upstreams.
 func BenchmarkSlots(b *testing.B) {
 	const upstreams, slots = 6, 5
 	s := benchSite(b, ServiceSize{Name: "web", Upstreams: upstreams, Slots: slots, Connections: 2000})
@@ -160,20 +164,21 @@
 		}
 		return n
 	}
-	ask := throughCallers(b, s, 2*upstreams*slots)
-	const turn = 5 * time.Second
+	requests := throughCallers(b, s, 2*upstreams*slots)
+	const round = 5 * time.Second
 	var done atomic.Uint64
 	for b.Loop() {
 		before = served()
-		work(b, turn, ask)
+		measureRequests(b, round, requests)
 		done.Add(served() - before)
 	}
-	busy := float64(done.Load()) * upstreamWork.Seconds()
-	b.ReportMetric(busy/(turn.Seconds()*float64(b.N)*upstreams*slots), "busy")
+	busy := float64(done.Load()) * defaultWork.Seconds()
+	b.ReportMetric(busy/(round.Seconds()*float64(b.N)*upstreams*slots), "busy")
 }
 
-// BenchmarkUpload sends 1 GiB through an agent and shows the most heap that the
-// program had, callers, balancers and upstream included, over that before it.
+// BenchmarkUpload sends 1 GiB through an agent and reports the size of the heap
+// before and its maximum during the upload. The heap includes callers, balancers
+// and the upstream.
 func BenchmarkUpload(b *testing.B) {
 	s := benchSite(b, ServiceSize{Name: "web", Upstreams: 1, Slots: 4, Connections: 100})
 	f, err := openFlow(b.Context(), s, newRecorder(), 0)
@@ -186,11 +191,11 @@
 	var base, most uint64
 	for b.Loop() {
 		runtime.GC()
-		base = heap()
+		base = heapInUse()
 		ctx, stop := context.WithCancel(b.Context())
 		go func() {
 			for clock.Sleep(ctx, 10*time.Millisecond) {
-				most = max(most, heap())
+				most = max(most, heapInUse())
 			}
 		}()
 		upload(b, f, size)
@@ -200,12 +205,14 @@
 	b.ReportMetric(float64(most)/(1<<20), "most-MiB")
 }
 
-func heap() uint64 {
+// heapInUse returns the bytes in use on the heap.
+func heapInUse() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapInuse
 }
 
+// upload sends size bytes and requires status 200.
 func upload(b *testing.B, f *flow, size int) {
 	b.Helper()
 	a := post(b.Context(), b, f, "/upload?caller=x", size)
--- a/demo/witness.go
+++ b/demo/witness.go
@@ -9,21 +9,22 @@
 	"pomeloway.example/pomeloway/upstream"
 )
 
-// shortBody is the longest request whose time to answer says something about the
-// upstream, in bytes.
-const shortBody = 64 << 10
+// maxShortBody is the size in bytes of the largest request body for which the
+// response time reflects the state of the upstream, not the time of the upload.
+const maxShortBody = 64 << 10
 
-// witness is an agent's way to its upstream. It tells the stand-in what the agent has
-// heard, so that the agent is judged by what it could know.
-type witness struct {
+// observingTransport is the transport from an agent to its upstream. It reports
+// each response that the agent has received to the upstream stand-in, so that only
+// requests which the agent sent despite a known cold start count as its errors.
+type observingTransport struct {
 	http.RoundTripper
 	up *standin.Upstream
 }
 
-// RoundTrip passes the request on with the moment at which it left.
-func (w witness) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip sends the request with a header that holds the time of sending.
+func (w observingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.Header.Get(upstream.HeaderRequest) == "" {
-		return w.RoundTripper.RoundTrip(r) // a look at its health
+		return w.RoundTripper.RoundTrip(r) // a health check
 	}
 	sent := time.Now()
 	r = r.Clone(r.Context())
@@ -34,14 +35,14 @@
 	}
 	w.up.Heard(standin.Heard{
 		Sent: sent, Took: time.Since(sent),
-		Short: r.ContentLength >= 0 && r.ContentLength <= shortBody,
+		Short: r.ContentLength >= 0 && r.ContentLength <= maxShortBody,
 		Shed:  a.StatusCode == http.StatusServiceUnavailable,
 	})
 	return a, nil
 }
 
 // CloseIdleConnections closes the connections that no request uses.
-func (w witness) CloseIdleConnections() {
+func (w observingTransport) CloseIdleConnections() {
 	if c, ok := w.RoundTripper.(interface{ CloseIdleConnections() }); ok {
 		c.CloseIdleConnections()
 	}
