--- a/agent/agent.go
+++ b/agent/agent.go
@@ -75,7 +75,7 @@
 	o.Link = s.Addr()
 	a := &Agent{opts: o, flows: newFlowTable(), kill: make(chan struct{})}
 	a.disp = &dispatcher{
-		gate: &upstream.Gate{}, client: upstream.NewClientOver(o.Upstream, o.transport()),
+		gate: &upstream.Gate{}, client: upstream.NewClientWithTransport(o.Upstream, o.transport()),
 		siblings:       &siblings{service: o.Service, self: fleet.NewID(fleet.RoleAgent, o.Link)},
 		disabledGuards: off, counts: &RequestCounts{},
 	}
@@ -91,11 +91,11 @@
 	a.handler.keyedRequests = &keyedRequests{d: a.disp, home: self.Peer, incarnation: self.Incarnation, state: a.State, zone: strconv.Itoa(int(o.Zone))}
 	a.conn = newConn(s, o.Service, o.Zone, self.Incarnation, a.admitFlow, a.flows.len, a.Log)
 	a.conn.paths.onChange = func(live []netip.AddrPort) {
-		a.Log.Add(events.FlowBalancer, slog.Any("balancers", live))
+		a.Log.Add(events.ReturnPathMoved, slog.Any("balancers", live))
 	}
 	a.setKeys(a.Keys())
 	a.setUpFlowServer(t, self)
-	a.SetState(func() any { return a.Counts() })
+	a.SetProgramState(func() any { return a.Counts() })
 	return a, nil
 }
 
@@ -204,7 +204,7 @@
 	defer t.Stop()
 	doubtTicker := time.NewTicker(doubtInterval)
 	defer doubtTicker.Stop()
-	changed := fleet.Immediately()
+	changed := fleet.ClosedChannel()
 	for {
 		select {
 		case <-changed:
@@ -233,7 +233,7 @@
 		a.loggedCrossed, a.loggedDropped = c, d
 	}
 	if a.ticks++; a.ticks%reviewsPerCollection == 0 {
-		a.handler.keyedRequests.journal.Collect(time.Now())
+		a.handler.keyedRequests.journal.RemoveExpired(time.Now())
 	}
 }
 
@@ -253,21 +253,21 @@
 }
 
 func (a *Agent) applyBundle(ctx context.Context, x *bundle.Accepted) {
-	r, err := a.Ring(x)
+	r, err := a.KeysFor(x)
 	if err != nil {
 		a.Log.Add(events.BundleRefused, slog.Uint64("version", uint64(x.Version)), slog.String("error", err.Error()))
 	}
 	if len(r) > 0 {
 		a.setKeys(r)
-		a.Rekey(r)
+		a.SetPeerKeys(r)
 	}
 	t := x.Bundle.Timeouts.OrDefault()
 	a.disp.timeouts.Store(&t)
 	s := x.Bundle.Service(a.opts.Service)
 	a.disp.service.Store(s)
 	if s != nil {
-		a.disp.gate.Limit(s.Upstreams)
-		a.disp.client.CheckID.Store(s.Upstreams.AnswersCarryID && !a.disp.disabledGuards.Has(guard.Match))
+		a.disp.gate.SetLimits(s.Upstreams)
+		a.disp.client.CheckID.Store(s.Upstreams.AnswersCarryID && !a.disp.disabledGuards.Disabled(guard.Match))
 	}
 	a.SetReady(s != nil && !a.disp.leaving.Load())
 	a.setZoneOut(ctx, x.Bundle.ZoneOut(a.opts.Zone), t.ZoneOutRun)
@@ -287,7 +287,7 @@
 // Callers can then open flows in other zones at once. Without the close they would wait
 // for the idle timeout.
 func (a *Agent) setZoneOut(ctx context.Context, out bool, grace time.Duration) {
-	if out == a.zoneOut.Load() || a.disp.disabledGuards.Has(guard.Zone) {
+	if out == a.zoneOut.Load() || a.disp.disabledGuards.Disabled(guard.Zone) {
 		return
 	}
 	a.zoneOut.Store(out)
@@ -368,6 +368,6 @@
 		Replayed: c.Replayed.Load(), ToHome: c.ToHome.Load(), Cut: c.Cut.Load(),
 		Crossed: a.disp.client.Crossed.Load(), Dropped: a.disp.client.Dropped.Load(),
 		Journal: a.handler.keyedRequests.journal.Len(), Leaving: a.disp.leaving.Load(), ZoneOut: a.zoneOut.Load(),
-		Strange: a.conn.Unknown.Load(), Unrouted: a.conn.Unrouted.Load(),
+		Strange: a.conn.Invalid.Load(), Unrouted: a.conn.Unrouted.Load(),
 	}
 }
--- a/agent/conn.go
+++ b/agent/conn.go
@@ -36,7 +36,7 @@
 	// messages for another service or of a caller without an IPv4 address, Unrouted
 	// outgoing datagrams for which no balancer was known, and Passed datagrams of
 	// openings that were passed to another agent.
-	Unknown, Foreign, Unrouted, Passed atomic.Uint64
+	Invalid, Foreign, Unrouted, Passed atomic.Uint64
 
 	// batch holds the datagrams that were read last: batchLen of them, of which
 	// batchNext is the next to handle.
@@ -79,7 +79,7 @@
 	var m link.Message
 	payload, ok := c.keys.Load().Get(p, &m)
 	if !ok {
-		c.Unknown.Add(1)
+		c.Invalid.Add(1)
 		return nil, netip.AddrPort{}
 	}
 	if m.Kind == link.KindHeartbeat {
@@ -132,7 +132,7 @@
 func (c *conn) answerHeartbeat(m *link.Message, from netip.AddrPort) {
 	now := time.Now()
 	if !m.Fresh(now) {
-		c.Unknown.Add(1)
+		c.Invalid.Add(1)
 		return
 	}
 	c.paths.recordHeartbeat(from, m.Zone, now)
@@ -194,18 +194,18 @@
 		}
 		c.openings.put(k, placement{decision: decisionTaken}, now)
 		c.refused.clear(m.Caller, now)
-		c.log.Decide(d)
+		c.log.AddDecision(d)
 		return true
 	case m.Load > 0 && m.Position == 1:
 		d.ID, d.Target = events.FlowPassed, m.Candidates[0]
 		c.openings.put(k, placement{decisionReturned, d.Target}, now)
-		c.log.Decide(d)
+		c.log.AddDecision(d)
 		c.returnOpening(m, datagram, d.Target)
 		return false
 	case !isLastCandidate(m):
 		d.ID, d.Target = events.FlowPassed, m.Candidates[nextCandidate(m)]
 		c.openings.put(k, placement{decisionPassed, d.Target}, now)
-		c.log.Decide(d)
+		c.log.AddDecision(d)
 		m.Load = 0
 		if reason == events.ReasonBusier {
 			m.Load = c.load()
@@ -218,7 +218,7 @@
 	d.ID = events.FlowRefused
 	c.openings.put(k, placement{decision: decisionRefused}, now)
 	c.refused.add(m.Caller, now)
-	c.log.Decide(d)
+	c.log.AddDecision(d)
 	return true
 }
 
--- a/agent/conn_test.go
+++ b/agent/conn_test.go
@@ -193,7 +193,7 @@
 // Guards against an opening that circulates among agents until its caller gives up. Two
 // balancers name different candidates for its datagrams, and one of the agents begins
 // to leave in between.
-func TestOpeningWithUnlikeCandidatesEndsAtOneAgent(t *testing.T) {
+func TestOpeningWithDifferentCandidatesEndsAtOneAgent(t *testing.T) {
 	reasons := make([]events.Reason, 4)
 	var f agentConns
 	for i, flowCount := range []int{1, 3, 9, 2} {
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -100,8 +100,8 @@
 // place runs the job on an upstream and returns the response, or the refusal as an
 // error.
 func (d *dispatcher) place(ctx context.Context, j *job) (*response, error) {
-	if d.disabledGuards.Has(guard.Slots) {
-		d.gate.AcquireAnyway()
+	if d.disabledGuards.Disabled(guard.Slots) {
+		d.gate.ForceAcquire()
 		return d.runLocally(ctx, j)
 	}
 	if !d.isLeaving() && d.gate.TryAcquire() == nil {
@@ -126,7 +126,7 @@
 func (d *dispatcher) waitForSlot(ctx context.Context, j *job) (*response, error) {
 	queue := d.timeouts.Load().Queue
 	err := d.gate.Acquire(ctx, j.flow, min(secondPassDelay, queue))
-	if errors.Is(err, upstream.ErrWait) {
+	if errors.Is(err, upstream.ErrWaitTimeout) {
 		if a, err := d.passToSibling(ctx, j); a != nil || !isNotRun(err) {
 			return a, err
 		}
@@ -163,7 +163,7 @@
 func (d *dispatcher) runLocally(ctx context.Context, j *job) (*response, error) {
 	body, ok := j.body.reader()
 	if !ok {
-		d.gate.Release(upstream.Sign{})
+		d.gate.Release(upstream.Feedback{})
 		return nil, refuseFull("too much of the request was read to send it again")
 	}
 	id := d.newRequestID()
@@ -180,10 +180,10 @@
 		a.Body.Close()
 		return d.handleFailure(ctx, j, start, fmt.Errorf("%w with status %d", errShed, s))
 	}
-	if j.r.ContentLength >= 0 && j.r.ContentLength <= maxTimedBody && d.gate.Answered(start, time.Since(start)) {
+	if j.r.ContentLength >= 0 && j.r.ContentLength <= maxTimedBody && d.gate.RecordLatency(start, time.Since(start)) {
 		d.logCold()
 	}
-	return d.handleResponse(ctx, j, a, upstream.Sign{Kind: upstream.SignGood, Began: start}), nil
+	return d.handleResponse(ctx, j, a, upstream.Feedback{Kind: upstream.FeedbackGood, Began: start}), nil
 }
 
 // newRequestID returns an ID that no other attempt to run a request has. It contains a
@@ -198,15 +198,15 @@
 // handleFailure releases the slot after the upstream failed to respond, and passes the
 // job to a sibling if it may be sent again.
 func (d *dispatcher) handleFailure(ctx context.Context, j *job, began time.Time, err error) (*response, error) {
-	sign := upstream.Sign{Kind: upstream.SignBad, Began: began}
+	sign := upstream.Feedback{Kind: upstream.FeedbackBad, Began: began}
 	var long *http.MaxBytesError
 	tooLarge := errors.As(err, &long)
 	if (ctx.Err() != nil || tooLarge) && !errors.Is(err, errShed) {
-		sign.Kind = upstream.SignNone // caused by the caller
+		sign.Kind = upstream.FeedbackNone // caused by the caller
 	}
 	var u *upstream.UnfinishedError
 	if errors.As(err, &u) {
-		d.releaseAfter(u.End, sign)
+		d.releaseAfter(u.OnStop, sign)
 	} else {
 		d.release(sign)
 	}
@@ -215,7 +215,7 @@
 		return nil, refuseTooLarge(OutcomeUnknown)
 	}
 	refused := refuseFull(err.Error())
-	if !errors.Is(err, upstream.ErrNotRun) && !d.disabledGuards.Has(guard.Retry) {
+	if !errors.Is(err, upstream.ErrNotRun) && !d.disabledGuards.Disabled(guard.Retry) {
 		refused = refuseUnknown(err.Error())
 		if ctx.Err() != nil {
 			return nil, refuseTimeout("the upstream had not answered", OutcomeUnknown)
@@ -232,9 +232,9 @@
 
 // handleResponse returns the response with a finish function that releases the slot. A
 // feed's slot is released at once.
-func (d *dispatcher) handleResponse(ctx context.Context, j *job, a *http.Response, sign upstream.Sign) *response {
+func (d *dispatcher) handleResponse(ctx context.Context, j *job, a *http.Response, sign upstream.Feedback) *response {
 	if a.StatusCode >= http.StatusBadGateway && a.StatusCode <= http.StatusGatewayTimeout {
-		sign.Kind = upstream.SignBad
+		sign.Kind = upstream.FeedbackBad
 	}
 	feed := j.holding == bundle.HoldingConnection
 	if feed {
@@ -251,17 +251,17 @@
 			d.release(sign)
 			return
 		}
-		sign.Kind = upstream.SignBad
+		sign.Kind = upstream.FeedbackBad
 		if ctx.Err() != nil {
-			sign.Kind = upstream.SignNone
+			sign.Kind = upstream.FeedbackNone
 		}
-		d.releaseAfter(upstream.EndOf(body), sign)
+		d.releaseAfter(upstream.OnStopOf(body), sign)
 	}}
 }
 
 // releaseAfter releases the slot of an aborted request once its upstream has stopped
 // working on it. A nil end means that it has stopped already.
-func (d *dispatcher) releaseAfter(end upstream.End, s upstream.Sign) {
+func (d *dispatcher) releaseAfter(end upstream.OnStop, s upstream.Feedback) {
 	if end == nil {
 		d.release(s)
 		return
@@ -269,7 +269,7 @@
 	end(func() { d.release(s) })
 }
 
-func (d *dispatcher) release(s upstream.Sign) {
+func (d *dispatcher) release(s upstream.Feedback) {
 	cold, warm := d.gate.Release(s)
 	if cold {
 		d.logCold()
--- a/agent/dispatch_test.go
+++ b/agent/dispatch_test.go
@@ -42,7 +42,7 @@
 
 // Guards against a slot that is given to the next request while the upstream still
 // works on an aborted one.
-func TestSlotOfABrokenRequestIsFreeWhenTheUpstreamHasStopped(t *testing.T) {
+func TestSlotOfAnAbortedRequestIsFreeWhenTheUpstreamHasStopped(t *testing.T) {
 	for name, answerFirst := range map[string]bool{"before the response": false, "during the response": true} {
 		t.Run(name, func(t *testing.T) {
 			abortAndWait(t, upstream.ProtocolHTTP1, answerFirst, func(d *dispatcher, up *slowToStop) {
@@ -58,7 +58,7 @@
 // Guards against slots that are lost with aborted requests. With HTTP/2, requests share
 // a connection, so an aborted one does not close it, and its slot must come back while
 // the connection stays open.
-func TestSlotOfABrokenRequestComesBackOverASharedConnection(t *testing.T) {
+func TestSlotOfAnAbortedRequestComesBackOverASharedConnection(t *testing.T) {
 	for name, answerFirst := range map[string]bool{"before the response": false, "during the response": true} {
 		t.Run(name, func(t *testing.T) {
 			abortAndWait(t, upstream.ProtocolH2C, answerFirst, func(_ *dispatcher, up *slowToStop) { close(up.release) })
@@ -98,7 +98,7 @@
 	defer s.Close()
 	d := newCluster(1, guard.Off{}).agents[0].dispatcher
 	d.client = upstream.NewClient(netip.MustParseAddrPort(s.Listener.Addr().String()), p)
-	d.gate.Limit(bundle.Limits{Slots: 1, Connections: 1, ColdStart: bundle.ColdStart{Slots: 1, Answers: 1}})
+	d.gate.SetLimits(bundle.Limits{Slots: 1, Connections: 1, ColdStart: bundle.ColdStart{Slots: 1, Answers: 1}})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -143,9 +143,9 @@
 // transport. The upstream has the given slots, and cold of them until it is warm.
 func newDispatcherOver(slots, cold int, f roundTrip) *dispatcher {
 	d := newCluster(1, guard.Off{}).agents[0].dispatcher
-	d.client = upstream.NewClientOver(agentAddr(0), f)
+	d.client = upstream.NewClientWithTransport(agentAddr(0), f)
 	d.gate = &upstream.Gate{}
-	d.gate.Limit(bundle.Limits{Slots: slots, Connections: slots, ColdStart: bundle.ColdStart{Slots: cold, Answers: 1}})
+	d.gate.SetLimits(bundle.Limits{Slots: slots, Connections: slots, ColdStart: bundle.ColdStart{Slots: cold, Answers: 1}})
 	return d
 }
 
@@ -157,7 +157,7 @@
 
 // Guards against a cold upstream that is not detected because callers read its
 // responses slowly.
-func TestSlowAnswersCountBeforeTheirCallersHaveReadThem(t *testing.T) {
+func TestSlowResponsesCountBeforeTheirCallersHaveReadThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		took := 10 * time.Millisecond
 		d := newDispatcherOver(8, 1, func(r *http.Request) (*http.Response, error) {
@@ -189,7 +189,7 @@
 
 // Guards against an upstream that sheds requests and still gets work, because the
 // callers of the shed requests have disconnected.
-func TestShedAnswerCountsAfterItsCallerHasLeft(t *testing.T) {
+func TestShedResponseCountsAfterItsCallerHasLeft(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	shed := false
 	d := newDispatcherOver(8, 1, func(r *http.Request) (*http.Response, error) {
--- a/agent/front.go
+++ b/agent/front.go
@@ -87,7 +87,7 @@
 		return
 	}
 	f.retries.earn()
-	ctx, stop, ok := f.requestContext(r, s.Holds(r.URL.Path))
+	ctx, stop, ok := f.requestContext(r, s.HoldingFor(r.URL.Path))
 	defer stop()
 	if !ok {
 		(&refusal{http.StatusBadRequest, "timeout", "the request's timeout is not a duration", r.Header.Get(upstream.HeaderTimeout), OutcomeNotRun, 0}).write(w)
@@ -95,7 +95,7 @@
 	}
 	j := &job{
 		r: r, body: newReplayBody(r.Body), flow: flow, passed: passed == passedWork,
-		holding: s.Holds(r.URL.Path), tried: newTried(f.siblings.self),
+		holding: s.HoldingFor(r.URL.Path), tried: newTried(f.siblings.self),
 	}
 	var a *response
 	var err error
@@ -171,7 +171,7 @@
 			r = refuseFull(err.Error())
 		}
 	}
-	if f.disabledGuards.Has(guard.Outcome) {
+	if f.disabledGuards.Disabled(guard.Outcome) {
 		r = &refusal{r.status, r.kind, r.title, r.detail, OutcomeNotRun, r.retryAfter}
 	}
 	id := events.RequestRefused
--- a/agent/front_test.go
+++ b/agent/front_test.go
@@ -19,7 +19,7 @@
 // Guards against an upload that is refused because a full sibling has read part of it.
 // The agent and its siblings are all full. The upload must be kept whole and run when a
 // slot is free.
-func TestUploadIsNotSpentOnAFullSibling(t *testing.T) {
+func TestUploadIsNotLostToAFullSibling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(3, guard.Off{})
 		w.noFaults = true
@@ -28,7 +28,7 @@
 				f.gate.TryAcquire()
 			}
 		}
-		time.AfterFunc(time.Second, func() { w.agents[0].gate.Release(upstream.Sign{}) })
+		time.AfterFunc(time.Second, func() { w.agents[0].gate.Release(upstream.Feedback{}) })
 		scan := strings.Repeat("x", 4*maxReplayBytes)
 		r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/upload", strings.NewReader(scan))
 		rec := httptest.NewRecorder()
@@ -43,7 +43,7 @@
 // An upstream dies while a request runs. A read may be sent again and must succeed
 // elsewhere; an order may have run and must not be sent again, and nothing may be once
 // the retry budget is used up.
-func TestOnlyReadingIsRepeatedAfterAnUnknownOutcome(t *testing.T) {
+func TestOnlyReadsAreRetriedAfterAnUnknownOutcome(t *testing.T) {
 	for name, x := range map[string]struct {
 		method       string
 		retriesSpent bool
@@ -61,7 +61,7 @@
 				w := newCluster(1, guard.Off{})
 				w.noFaults = true
 				dies := &dyingUpstream{}
-				w.agents[0].client = upstream.NewClientOver(agentAddr(0), dies)
+				w.agents[0].client = upstream.NewClientWithTransport(agentAddr(0), dies)
 				for range 200 {
 					w.agents[0].retries.earn()
 				}
@@ -134,12 +134,12 @@
 // passed to a sibling in that zone. Its flow ends at an agent whose zone is in, so
 // closing flows did not end it, and the upstream still sent after 3.2 s. The feed must
 // be cut off, and no request be taken until the zone is back.
-func TestWhatWasPassedToAZoneEndsWithIt(t *testing.T) {
+func TestPassedRequestsEndWhenTheZoneGoesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newCluster(1, guard.Off{})
 		w.noFaults = true
 		f := w.agents[0]
-		f.client = upstream.NewClientOver(agentAddr(0), endlessUpstream{})
+		f.client = upstream.NewClientWithTransport(agentAddr(0), endlessUpstream{})
 		ask := func(passed string) (rec *httptest.ResponseRecorder) {
 			r := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/feed", nil)
 			r.Header.Set(headerPassed, passed)
--- a/agent/history_test.go
+++ b/agent/history_test.go
@@ -169,7 +169,7 @@
 // upstreams refuse, shed, cut off and swap responses, and calls between agents are lost
 // before or after they took effect. Each order must run at most once, an order reported
 // as "not-run" must not have run, and a response must be that of its order.
-func TestHistoriesOfOrdersAreExplained(t *testing.T) {
+func TestOrderHistoriesAreValid(t *testing.T) {
 	for seed := range histories(t) {
 		synctest.Test(t, func(t *testing.T) {
 			if err := simulate(t.Context(), seed, guard.Off{}); err != nil {
@@ -181,7 +181,7 @@
 
 // Guards against a checker that misses faults: it must find the fault that appears when
 // any one of the guards is switched off.
-func TestCheckerFindsPlantedFaults(t *testing.T) {
+func TestCheckerDetectsDisabledGuards(t *testing.T) {
 	for name, what := range map[guard.Name]string{
 		guard.Retry:   "a request with an unknown outcome is sent again",
 		guard.Life:    "a home accepts keys of its earlier incarnation",
--- a/agent/leave.go
+++ b/agent/leave.go
@@ -47,7 +47,7 @@
 	}()
 	a.Log.Add(events.Draining, slog.String("program", "agent"), slog.Int("flows", a.flows.len()), slog.Int64("running", a.disp.running.Load()))
 	a.stopping.Store(true)
-	if a.disp.disabledGuards.Has(guard.Drain) {
+	if a.disp.disabledGuards.Disabled(guard.Drain) {
 		clock.Sleep(ctx, noDrainDelay)
 		return nil
 	}
@@ -70,7 +70,7 @@
 // would find no agent that knows the outcome: a planned stop would cause unknown
 // outcomes.
 func (a *Agent) waitForKeys(ctx context.Context) {
-	for time.Now().Before(a.handler.keyedRequests.journal.Until()) || a.disp.running.Load() > 0 {
+	for time.Now().Before(a.handler.keyedRequests.journal.LastExpiry()) || a.disp.running.Load() > 0 {
 		if !clock.Sleep(ctx, journalPollInterval) {
 			return
 		}
--- a/agent/options.go
+++ b/agent/options.go
@@ -43,17 +43,17 @@
 
 // Validate returns all errors in the settings.
 func (o *Options) Validate() error {
-	var f settings.Faults
+	var f settings.Errors
 	f.Join(o.Options.Validate())
-	f.Want(o.Service != 0, "--service", "must be 1 to 65535")
-	f.Address("--upstream", o.Upstream)
-	f.Want(o.Health == "" || strings.HasPrefix(o.Health, "/"), "--health", "must be a path such as /healthz")
-	f.Want(o.Drain > 0, "--drain", "must be more than zero")
+	f.Require(o.Service != 0, "--service", "must be 1 to 65535")
+	f.RequireAddress("--upstream", o.Upstream)
+	f.Require(o.Health == "" || strings.HasPrefix(o.Health, "/"), "--health", "must be a path such as /healthz")
+	f.Require(o.Drain > 0, "--drain", "must be more than zero")
 	if o.TLS == nil {
 		_, err := o.callerTLS()
-		f.Err("--certificate", err)
+		f.AddError("--certificate", err)
 	}
-	return f.All()
+	return f.ErrOrNil()
 }
 
 func (o *Options) callerTLS() (*tls.Config, error) {
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -46,7 +46,7 @@
 		return
 	}
 	t := time.Now().Add(o.d.timeouts.Load().OrderKey)
-	o.journal.Issued(t)
+	o.journal.RecordIssued(t)
 	k := idempotency.Key{Home: o.home, Life: o.incarnation, Service: o.d.service.Load().ID, Expires: t, Nonce: idempotency.NewNonce()}
 	w.Header().Set(HeaderZone, o.zone)
 	w.Header().Set(HeaderAgent, string(o.d.siblings.self))
@@ -62,15 +62,15 @@
 	switch {
 	case errors.Is(err, idempotency.ErrExpired):
 		return nil, refuseKey(http.StatusGone, "key-expired", "get a new one only if the earlier request surely did not run")
-	case errors.Is(err, idempotency.ErrService):
+	case errors.Is(err, idempotency.ErrWrongService):
 		return nil, refuseKey(http.StatusForbidden, "key-service", err.Error())
 	case err != nil:
 		return nil, refuseKey(http.StatusBadRequest, "key-invalid", "POST "+PathKey+" gives one")
 	}
-	if k.Home == o.home && (k.Life == o.incarnation || o.d.disabledGuards.Has(guard.Life)) {
+	if k.Home == o.home && (k.Life == o.incarnation || o.d.disabledGuards.Disabled(guard.Life)) {
 		return o.atHome(ctx, j, k)
 	}
-	if o.d.disabledGuards.Has(guard.Home) {
+	if o.d.disabledGuards.Disabled(guard.Home) {
 		return o.d.place(ctx, j)
 	}
 	if fromSibling || !mayBeAlive(o.state, k.Home.String(), k.Life) {
@@ -125,13 +125,13 @@
 	u, fresh, err := o.journal.Begin(k, j.r.Method+" "+j.r.URL.RequestURI())
 	var a *response
 	switch {
-	case errors.Is(err, idempotency.ErrOtherUse):
+	case errors.Is(err, idempotency.ErrKeyReused):
 		err = refuseKey(http.StatusUnprocessableEntity, "key-reused", err.Error())
 	case err != nil:
 		err = refuseFull(err.Error())
 	case fresh:
 		a, err = o.runFirst(ctx, j, k, u)
-	case o.d.disabledGuards.Has(guard.Journal):
+	case o.d.disabledGuards.Disabled(guard.Journal):
 		a, err = o.d.place(ctx, j)
 	default:
 		a, err = o.replay(ctx, j, u)
@@ -149,7 +149,7 @@
 }
 
 // runFirst runs the first request under a key and records the result.
-func (o *keyedRequests) runFirst(ctx context.Context, j *job, k idempotency.Key, u *idempotency.Use) (*response, error) {
+func (o *keyedRequests) runFirst(ctx context.Context, j *job, k idempotency.Key, u *idempotency.Entry) (*response, error) {
 	a, err := o.d.place(ctx, j)
 	if err != nil {
 		res := idempotency.ResultUnknown
@@ -171,8 +171,8 @@
 
 // record reads a short response to its end and returns the copy to keep. The response's
 // body can still be read afterwards.
-func record(a *response) (*idempotency.Recorded, error) {
-	b, err := io.ReadAll(io.LimitReader(a.Body, idempotency.MaxRecorded+1))
+func record(a *response) (*idempotency.RecordedResponse, error) {
+	b, err := io.ReadAll(io.LimitReader(a.Body, idempotency.MaxRecordedBody+1))
 	if err != nil {
 		return nil, err
 	}
@@ -181,17 +181,17 @@
 		io.Reader
 		io.Closer
 	}{io.MultiReader(bytes.NewReader(b), rest), rest}
-	if len(b) > idempotency.MaxRecorded {
-		return &idempotency.Recorded{Status: a.StatusCode, TooLong: true}, nil
+	if len(b) > idempotency.MaxRecordedBody {
+		return &idempotency.RecordedResponse{Status: a.StatusCode, TooLong: true}, nil
 	}
-	return &idempotency.Recorded{Status: a.StatusCode, Header: a.Header.Clone(), Body: b}, nil
+	return &idempotency.RecordedResponse{Status: a.StatusCode, Header: a.Header.Clone(), Body: b}, nil
 }
 
 // HeaderReplayed marks a response that was recorded earlier.
 const HeaderReplayed = "Idempotency-Replayed"
 
 // replay answers a repeated use of a key with the result of the first.
-func (o *keyedRequests) replay(ctx context.Context, j *job, u *idempotency.Use) (*response, error) {
+func (o *keyedRequests) replay(ctx context.Context, j *job, u *idempotency.Entry) (*response, error) {
 	res, rec, err := o.journal.Wait(ctx, u)
 	switch {
 	case err != nil:
--- a/agent/world_test.go
+++ b/agent/world_test.go
@@ -78,16 +78,16 @@
 func (w *cluster) start(i int, incarnation fleet.Incarnation) *handler {
 	m := agentMember(i, incarnation)
 	d := &dispatcher{
-		gate: &upstream.Gate{}, client: upstream.NewClientOver(agentAddr(i), upstreamTransport{w}),
+		gate: &upstream.Gate{}, client: upstream.NewClientWithTransport(agentAddr(i), upstreamTransport{w}),
 		siblings: &siblings{service: 1, self: m.ID}, peers: peerTransport{w}, incarnation: incarnation,
 		disabledGuards: w.disabledGuards, counts: &RequestCounts{},
 	}
-	d.client.CheckID.Store(!w.disabledGuards.Has(guard.Match))
+	d.client.CheckID.Store(!w.disabledGuards.Disabled(guard.Match))
 	s := &bundle.Service{ID: 1, Upstreams: bundle.Limits{Slots: 3, Connections: 10, ColdStart: bundle.ColdStart{Slots: 3, Answers: 1}, ShedStatus: 503}}
 	d.service.Store(s)
 	t := bundle.Timeouts{}.OrDefault()
 	d.timeouts.Store(&t)
-	d.gate.Limit(s.Upstreams)
+	d.gate.SetLimits(s.Upstreams)
 	f := &handler{dispatcher: d, zone: 1}
 	f.keyedRequests = &keyedRequests{d: d, home: m.Peer, incarnation: incarnation, state: fleet.NewState(nil)}
 	f.keyedRequests.sealer.Store(idempotency.NewSealer(keyring.Ring{secret}))
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -63,7 +63,7 @@
 	b := &Balancer{Process: p, off: off, opts: o, link: s, outSince: map[bundle.ZoneID]time.Time{}, kill: make(chan struct{})}
 	b.view.Store(&View{linkKeys: link.NewKeys(p.Keys())})
 	b.ports.Store(&portMap{})
-	p.SetState(func() any { return b.Counts() })
+	p.SetProgramState(func() any { return b.Counts() })
 	return b, nil
 }
 
@@ -164,7 +164,7 @@
 // apply stores a view built from the bundle and the fleet state. If the bundle
 // version changed, it also updates the peer identity and the service sockets.
 func (b *Balancer) apply(a *bundle.Accepted) {
-	r, err := b.Ring(a)
+	r, err := b.KeysFor(a)
 	if err != nil {
 		b.Log.Add(events.BundleRefused, slog.Uint64("version", uint64(a.Version)), slog.String("error", err.Error()))
 	}
@@ -181,7 +181,7 @@
 	b.scheduleResets(v, a.Bundle)
 	b.view.Store(v)
 	if old.Version != v.Version {
-		b.Rekey(r)
+		b.SetPeerKeys(r)
 		b.updatePorts(a.Bundle)
 	}
 	b.SetReady(!v.zoneOut[b.opts.Zone] && !b.leaving.Load())
--- a/balancer/forward_test.go
+++ b/balancer/forward_test.go
@@ -39,7 +39,7 @@
 			return err
 		}
 		for i := range n {
-			b.SendWithHeader(i, to)
+			b.EnqueueWithHeader(i, to)
 		}
 		b.Flush(out.Batched)
 		done.Add(uint64(n))
@@ -62,7 +62,7 @@
 	w.Go(func() {
 		for !stop.Load() {
 			for range batchSize {
-				q.Send(p, to)
+				q.Enqueue(p, to)
 			}
 			q.Flush(s.Batched)
 		}
--- a/balancer/forwarder.go
+++ b/balancer/forwarder.go
@@ -81,7 +81,7 @@
 		m.Kind, m.Count, m.Candidates = link.KindOpen, a.Count, a.Candidates
 	}
 	v.linkKeys[0].Put(b.Header(i), &m)
-	b.SendWithHeader(i, a.Target())
+	b.EnqueueWithHeader(i, a.Target())
 }
 
 // sendReset sends the caller a stateless reset if the datagram was dropped because
@@ -93,7 +93,7 @@
 	}
 	if f.reset.reset(v.resets, p, from, f.in, now) {
 		f.count.Reset.Add(1)
-		f.log.Decide(events.Decision{ID: events.FlowReset, Reason: a.Reason, Service: f.id, Zone: a.Zone, Caller: from})
+		f.log.AddDecision(events.Decision{ID: events.FlowReset, Reason: a.Reason, Service: f.id, Zone: a.Zone, Caller: from})
 	}
 }
 
@@ -116,11 +116,11 @@
 			return // a caller's path MTU probe, not worth a log line
 		case events.ReasonNoCandidate:
 			d.ID = events.FlowNoUpstream
-		case events.ReasonService:
+		case events.ReasonWrongService:
 			f.count.Misrouted.Add(1)
 		case events.ReasonZoneOut:
 			f.count.ZoneOut.Add(1)
 		}
 	}
-	f.log.Decide(d)
+	f.log.AddDecision(d)
 }
--- a/balancer/observer.go
+++ b/balancer/observer.go
@@ -75,7 +75,7 @@
 	o.subjects = map[netip.AddrPort]*subject{}
 	t := time.NewTicker(heartbeatInterval)
 	defer t.Stop()
-	changed := fleet.Immediately()
+	changed := fleet.ClosedChannel()
 	for {
 		select {
 		case <-changed:
@@ -163,7 +163,7 @@
 			s.lastAck = now
 		}
 		silent := now.Sub(s.lastAck) > ackTimeout
-		if silent && (!s.doubted || now.Sub(s.publishedAt) > fleet.DoubtEvery) {
+		if silent && (!s.doubted || now.Sub(s.publishedAt) > fleet.DoubtInterval) {
 			o.publishOpinion(s, true, now)
 		}
 		o.link.WriteToUDPAddrPort(b[:], a)
--- a/balancer/observer_test.go
+++ b/balancer/observer_test.go
@@ -38,7 +38,7 @@
 // A balancer's VM is paused for a minute, as in a live migration. Afterwards every
 // member appears to have been silent for a minute. If two balancers doubted all
 // members after such pauses, the fleet would consider every agent failed at once.
-func TestObserverThatStoodStillDoubtsNobody(t *testing.T) {
+func TestPausedObserverDoubtsNoMember(t *testing.T) {
 	m := agentAt(1, 1, 1)
 	m.Incarnation = 5
 	start := time.Unix(1_800_000_000, 0)
@@ -73,7 +73,7 @@
 
 // An observer stops observing a member that it doubts. Only the observer itself
 // can withdraw its opinion; otherwise the doubt would remain.
-func TestDoubtIsWithdrawnWithTheDuty(t *testing.T) {
+func TestDoubtIsWithdrawnOnReassignment(t *testing.T) {
 	m := agentAt(1, 1, 1)
 	m.Incarnation = 5
 	start := time.Unix(1_800_000_000, 0)
--- a/balancer/options.go
+++ b/balancer/options.go
@@ -23,9 +23,9 @@
 
 // Validate returns an error that lists all invalid settings.
 func (o *Options) Validate() error {
-	var f settings.Faults
+	var f settings.Errors
 	f.Join(o.Options.Validate())
-	f.Want(o.Forwarders >= 0 && o.Forwarders <= maxForwarders, "--forwarders", "must be 1 to 64")
-	f.Want(!o.Bind.IsValid() || o.Bind.Is4(), "--bind", "must be an IPv4 address")
-	return f.All()
+	f.Require(o.Forwarders >= 0 && o.Forwarders <= maxForwarders, "--forwarders", "must be 1 to 64")
+	f.Require(!o.Bind.IsValid() || o.Bind.Is4(), "--bind", "must be an IPv4 address")
+	return f.ErrOrNil()
 }
--- a/balancer/reset_test.go
+++ b/balancer/reset_test.go
@@ -14,7 +14,7 @@
 func TestResetAnswersOnlyEstablishedFlows(t *testing.T) {
 	route := quiclb.Route{Service: 1, Zone: 3, Agent: loopback}
 	cid := quiclb.NewKey(secret).Seal(route, 1)
-	tail := func(n int) []byte { return append(short(cid)[:1+quiclb.Size], make([]byte, n)...) }
+	tail := func(n int) []byte { return append(short(cid)[:1+quiclb.TokenSize], make([]byte, n)...) }
 	for name, x := range map[string]struct {
 		p    []byte
 		keys keyring.Ring
@@ -23,8 +23,8 @@
 	}{
 		"packet of an established flow": {tail(40), keyring.Ring{secret}, 0, 1},
 		"key rotation":                  {tail(40), keyring.Ring{secret, keyring.NewSecret(2)}, 0, 2},
-		"shortest answered packet":      {tail(minResetLen - quiclb.Size), keyring.Ring{secret}, 0, 1},
-		"packet too short":              {tail(minResetLen - quiclb.Size - 1), keyring.Ring{secret}, 0, 0},
+		"shortest answered packet":      {tail(minResetLen - quiclb.TokenSize), keyring.Ring{secret}, 0, 1},
+		"packet too short":              {tail(minResetLen - quiclb.TokenSize - 1), keyring.Ring{secret}, 0, 0},
 		"opening":                       {initial(7), keyring.Ring{secret}, 0, 0},
 		"empty datagram":                {nil, keyring.Ring{secret}, 0, 0},
 		"no keys":                       {tail(40), nil, 0, 0},
--- a/balancer/returner.go
+++ b/balancer/returner.go
@@ -93,6 +93,6 @@
 	if q.Len() == 0 {
 		r.touched = append(r.touched, p)
 	}
-	q.Send(payload, to)
+	q.Enqueue(payload, to)
 	r.count.Returned.Add(1)
 }
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -145,12 +145,12 @@
 		a.Reason = events.ReasonNotQUIC
 		return
 	}
-	if r, ok := o.Open(v.tokenKeys, cid); ok && !v.off.Has(guard.Token) {
+	if r, ok := o.Open(v.tokenKeys, cid); ok && !v.off.Disabled(guard.Token) {
 		v.decideEstablished(id, r, a)
 		return
 	}
-	if class != quiclb.ClassOpening && !v.off.Has(guard.Token) {
-		a.Reason = events.ReasonBadToken
+	if class != quiclb.ClassOpening && !v.off.Disabled(guard.Token) {
+		a.Reason = events.ReasonUnknownToken
 		return
 	}
 	v.decideOpening(id, cid, a)
@@ -165,11 +165,11 @@
 // must receive no traffic even for flows that are still open there.
 func (v *View) decideEstablished(id bundle.ServiceID, r quiclb.Route, a *Action) {
 	a.Zone = r.Zone
-	if r.Service != id && !v.off.Has(guard.Service) {
-		a.Reason = events.ReasonService
+	if r.Service != id && !v.off.Disabled(guard.Service) {
+		a.Reason = events.ReasonWrongService
 		return
 	}
-	if v.zoneOut[r.Zone] && !v.off.Has(guard.Zone) {
+	if v.zoneOut[r.Zone] && !v.off.Disabled(guard.Zone) {
 		a.Reason = events.ReasonZoneOut
 		return
 	}
--- a/balancer/view_test.go
+++ b/balancer/view_test.go
@@ -43,7 +43,7 @@
 }
 
 // short returns a packet with a QUIC short header and the token as connection ID.
-func short(token [quiclb.Size]byte) []byte {
+func short(token [quiclb.TokenSize]byte) []byte {
 	return append(append([]byte{0x40}, token[:]...), make([]byte, 1000)...)
 }
 
@@ -60,10 +60,10 @@
 		reason events.Reason
 	}{
 		"token":                       {token(1, 1), VerdictForward, ""},
-		"token of another service":    {token(2, 1), VerdictDrop, events.ReasonService},
+		"token of another service":    {token(2, 1), VerdictDrop, events.ReasonWrongService},
 		"token of a zone that is out": {token(1, 3), VerdictDrop, events.ReasonZoneOut},
 		"token of an unknown zone":    {token(1, 9), VerdictDrop, events.ReasonZoneOut},
-		"token under a foreign key":   {unknown, VerdictDrop, events.ReasonBadToken},
+		"token under a foreign key":   {unknown, VerdictDrop, events.ReasonUnknownToken},
 		"opening":                     {initial(1), VerdictOpen, events.ReasonFirst},
 		"too long":                    {make([]byte, link.MaxPayload+1), VerdictDrop, events.ReasonTooLong},
 		"empty":                       {nil, VerdictDrop, events.ReasonNotQUIC},
@@ -84,7 +84,7 @@
 
 // Both service addresses receive a million datagrams: openings, and tokens of both
 // services. No datagram may be sent to an agent of the other service.
-func TestNoneOfAMillionIsMisrouted(t *testing.T) {
+func TestDecideNeverMisroutes(t *testing.T) {
 	v, ms := newTestView(2, 6, nil)
 	owner := map[netip.AddrPort]bundle.ServiceID{}
 	for _, m := range ms {
@@ -117,7 +117,7 @@
 // The view lags behind and marks a working agent as doubted. The agent must keep its
 // flows and remain the last candidate for openings, so that a wrong doubt costs no
 // flow.
-func TestDoubtCostsNoFlow(t *testing.T) {
+func TestDoubtedAgentKeepsFlows(t *testing.T) {
 	_, ms := newTestView(1, 3, nil)
 	doubts := map[fleet.MemberID]bool{ms[0].ID: true}
 	v, _ := newTestView(1, 3, doubts)
@@ -154,7 +154,7 @@
 
 // With a guard disabled, the failure that it prevents must occur. Otherwise a test
 // that passes with the guard enabled proves nothing.
-func TestGuardsOffShow(t *testing.T) {
+func TestDisabledGuardsForward(t *testing.T) {
 	v, ms := newTestView(2, 3, nil)
 	k := quiclb.NewKey(secret)
 	for name, x := range map[string]struct {
@@ -171,8 +171,8 @@
 				w := *v
 				w.off = off
 				w.Decide(1, p, &quiclb.Opener{}, &a)
-				if (a.Verdict == VerdictForward) != off.Has(x.off) {
-					t.Errorf("guard disabled = %t: verdict %d", off.Has(x.off), a.Verdict)
+				if (a.Verdict == VerdictForward) != off.Disabled(x.off) {
+					t.Errorf("guard disabled = %t: verdict %d", off.Disabled(x.off), a.Verdict)
 				}
 			}
 		})
--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -63,9 +63,9 @@
 	Routes    []Route        `yaml:"routes,omitempty"`
 }
 
-// Holds returns what a request for the path occupies on its upstream. The route
+// HoldingFor returns what a request for the path occupies on its upstream. The route
 // with the longest matching prefix decides; without a match it is a slot.
-func (s *Service) Holds(path string) Holding {
+func (s *Service) HoldingFor(path string) Holding {
 	best, h := -1, HoldingSlot
 	for _, r := range s.Routes {
 		if len(r.Prefix) > best && len(path) >= len(r.Prefix) && path[:len(r.Prefix)] == r.Prefix {
--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -26,7 +26,7 @@
 currentKey: 1
 `
 
-func TestDecodeFindsEveryFaultWithItsPlace(t *testing.T) {
+func TestDecodeReportsAllErrorsWithPosition(t *testing.T) {
 	tests := map[string]string{
 		"unknown fields and reused names": strings.NewReplacer(
 			"    protocol: h3\n", "    protocol: h3\n    colour: blue\n",
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestDecodeTakesAGoodBundle(t *testing.T) {
+func TestDecodeAcceptsValidBundle(t *testing.T) {
 	b, err := Decode([]byte(validBundle))
 	if err != nil {
 		t.Fatal(err)
@@ -67,14 +67,14 @@
 		t.Error("want zone 1 in; zone 2 and the unknown zone 9 out")
 	}
 	s := b.Service(1)
-	if s.Holds("/feed/7") != HoldingConnection || s.Holds("/order") != HoldingSlot {
+	if s.HoldingFor("/feed/7") != HoldingConnection || s.HoldingFor("/order") != HoldingSlot {
 		t.Error("want a feed to hold a connection and an order to hold a slot")
 	}
 }
 
 func signer(t *testing.T) (minisign.PrivateKey, *Verifier) {
 	t.Helper()
-	key, v, err := NewOperator()
+	key, v, err := NewOperatorKey()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 // An attacker who controls the platform or a peer changes a bundle on its way:
 // its text, its version or its signer. If such a bundle took effect, operators
 // would no longer control the configuration.
-func TestVerifyRefusesWhatNoOperatorSigned(t *testing.T) {
+func TestVerifyRejectsBundleNotSignedByOperator(t *testing.T) {
 	key, v := signer(t)
 	other, _ := signer(t)
 	s, err := Sign([]byte(validBundle), Stamp{Version: 2, Parent: "aa", Author: "Neema K"}, key)
@@ -139,7 +139,7 @@
 // 870 services took 11 s to decode in every process, which delayed each change.
 // The test uses allocated memory as a measure of time: twice the text must
 // allocate about twice as much.
-func TestDecodeGrowsWithTheTextAndNotItsSquare(t *testing.T) {
+func TestDecodeAllocatesLinearly(t *testing.T) {
 	text := func(n int) []byte {
 		var b strings.Builder
 		b.WriteString("services:\n")
--- a/bundle/decode.go
+++ b/bundle/decode.go
@@ -21,15 +21,15 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// MaxText is the maximum length of a bundle in bytes: the platform's limit for
+// MaxTextBytes is the maximum length of a bundle in bytes: the platform's limit for
 // a value, less space for the signature and the envelope.
-const MaxText = 900_000
+const MaxTextBytes = 900_000
 
 // Decode parses and validates a bundle. A returned error is of type Findings.
 func Decode(text []byte) (*Bundle, error) {
 	d := &decoder{positions: map[string]position{}, failed: map[string]bool{}}
-	if len(text) > MaxText {
-		d.add("bundle", fmt.Sprintf("has %d bytes, more than the maximum of %d; split the services into two fleets", len(text), MaxText))
+	if len(text) > MaxTextBytes {
+		d.add("bundle", fmt.Sprintf("has %d bytes, more than the maximum of %d; split the services into two fleets", len(text), MaxTextBytes))
 		return nil, d.findings
 	}
 	f, err := parser.ParseBytes(text, 0)
--- a/bundle/signed.go
+++ b/bundle/signed.go
@@ -100,9 +100,9 @@
 	return v, nil
 }
 
-// NewOperator generates an operator's key and returns it with a verifier that
+// NewOperatorKey generates an operator's key and returns it with a verifier that
 // trusts only this key. It is for fleets that exist for a single run.
-func NewOperator() (minisign.PrivateKey, *Verifier, error) {
+func NewOperatorKey() (minisign.PrivateKey, *Verifier, error) {
 	pub, key, err := minisign.GenerateKey(rand.Reader)
 	if err != nil {
 		return key, nil, eris.Wrap(err, "generate operator's key")
--- a/capacity/bundles.go
+++ b/capacity/bundles.go
@@ -19,15 +19,15 @@
 
 // Sizes of the fleet that pomeloway is designed for.
 const (
-	Nodes     = 400
-	Upstreams = 2400
-	Addresses = 870
-	Zones     = 8
-	Changes   = 830 // per day
+	Nodes            = 400
+	Upstreams        = 2400
+	ServiceAddresses = 870
+	Zones            = 8
+	Changes          = 830 // per day
 )
 
-// Text returns the text of a valid bundle with the given number of services.
-func Text(services int, k keyring.Secret) []byte {
+// BundleText returns the text of a valid bundle with the given number of services.
+func BundleText(services int, k keyring.Secret) []byte {
 	var b strings.Builder
 	b.WriteString("services:\n")
 	for i := range services {
@@ -48,8 +48,8 @@
 	return []byte(b.String())
 }
 
-// Member returns the i-th agent of a fleet with the given number of services.
-func Member(i, services int) fleet.Member {
+// AgentMember returns the i-th agent of a fleet with the given number of services.
+func AgentMember(i, services int) fleet.Member {
 	a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 200, byte(i >> 8), byte(i)}), 7001)
 	return fleet.Member{
 		ID: fleet.NewID(fleet.RoleAgent, a), Role: fleet.RoleAgent, Zone: bundle.ZoneID(i%Zones + 1),
@@ -70,17 +70,17 @@
 	return median(t)
 }
 
-// Bundles measures bundles with the given numbers of services: their size and the
+// MeasureBundles measures bundles with the given numbers of services: their size and the
 // time to verify and decode them.
-func Bundles(sizes []int) ([]Slope, error) {
+func MeasureBundles(sizes []int) ([]Slope, error) {
 	k := keyring.NewSecret(1)
-	key, v, err := bundle.NewOperator()
+	key, v, err := bundle.NewOperatorKey()
 	if err != nil {
 		return nil, err
 	}
 	var size, compressed, change, verify []Point
 	for _, n := range sizes {
-		text := Text(n, k)
+		text := BundleText(n, k)
 		s, err := bundle.Sign(text, bundle.Stamp{Version: 1}, key)
 		if err != nil {
 			return nil, err
@@ -125,11 +125,11 @@
 	return peer.WireSize(fleet.Change{Bundle: &s}, string(text))
 }
 
-// Views measures the view of fleets with the given numbers of members: its size in
+// MeasureViews measures the view of fleets with the given numbers of members: its size in
 // memory and on the wire, and the time to merge and build it.
-func Views(sizes []int, services int) ([]Slope, error) {
+func MeasureViews(sizes []int, services int) ([]Slope, error) {
 	k := keyring.NewSecret(1)
-	b, err := bundle.Decode(Text(services, k))
+	b, err := bundle.Decode(BundleText(services, k))
 	if err != nil {
 		return nil, err
 	}
@@ -138,7 +138,7 @@
 	for _, n := range sizes {
 		var ms []fleet.Member
 		for i := range n {
-			ms = append(ms, Member(i, services))
+			ms = append(ms, AgentMember(i, services))
 		}
 		at := func(v float64) Point { return Point{float64(n), v} }
 		before := memoryInUse()
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -10,7 +10,7 @@
 	"pomeloway.example/pomeloway/keyring"
 )
 
-func TestSlopeFitsALine(t *testing.T) {
+func TestNewSlopeFitsLine(t *testing.T) {
 	for name, x := range map[string]struct {
 		points               []Point
 		base, each, residual float64
@@ -32,22 +32,22 @@
 // The measurements are extrapolated to a fleet of full size. If the generated
 // bundle or agent were not valid, their figures would mean nothing.
 func TestGeneratedBundleIsValidAtFullSize(t *testing.T) {
-	b, err := bundle.Decode(Text(Addresses, keyring.NewSecret(1)))
-	if err != nil || len(b.Services) != Addresses || len(b.Zones) != Zones {
+	b, err := bundle.Decode(BundleText(ServiceAddresses, keyring.NewSecret(1)))
+	if err != nil || len(b.Services) != ServiceAddresses || len(b.Zones) != Zones {
 		t.Fatalf("bundle is not valid or has a wrong number of services or zones: %v", err)
 	}
-	m := Member(Upstreams-1, Addresses)
+	m := AgentMember(Upstreams-1, ServiceAddresses)
 	if err := m.Check(); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestMeasuresAndPlotsSmallSizes(t *testing.T) {
-	bs, err := Bundles([]int{2, 4, 6, 8})
+	bs, err := MeasureBundles([]int{2, 4, 6, 8})
 	if err != nil {
 		t.Fatal(err)
 	}
-	vs, err := Views([]int{8, 16, 24, 32}, 4)
+	vs, err := MeasureViews([]int{8, 16, 24, 32}, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/capacity/fleets.go
+++ b/capacity/fleets.go
@@ -28,9 +28,9 @@
 // changesPerSize is the number of bundles accepted at each size.
 const changesPerSize = 5
 
-// Fleets measures whole fleets without callers: balancers, agents and the
+// MeasureFleets measures whole fleets without callers: balancers, agents and the
 // platform's stand-in, all in this process and connected over loopback.
-func Fleets(ctx context.Context, sizes []FleetSize, hold time.Duration, progress io.Writer) ([]Slope, error) {
+func MeasureFleets(ctx context.Context, sizes []FleetSize, hold time.Duration, progress io.Writer) ([]Slope, error) {
 	var cpu, net, heap, reads, inForce, change []Point
 	for _, z := range sizes {
 		n := float64(z.Balancers + z.Upstreams)
@@ -83,7 +83,7 @@
 	var took []float64
 	a := readUsage()
 	for range changesPerSize {
-		d, err := f.Change(ctx)
+		d, err := f.ChangeBundle(ctx)
 		if err != nil {
 			return 0, 0, err
 		}
@@ -95,10 +95,10 @@
 	return median(took), max(0, extra) / changesPerSize, nil
 }
 
-// Flows measures the cost of an open feed with upstreams of the given protocol.
+// MeasureFlows measures the cost of an open feed with upstreams of the given protocol.
 // This includes the cost at the caller and the upstream because all run in this
 // process.
-func Flows(ctx context.Context, p upstream.Protocol, sizes []int, hold time.Duration, progress io.Writer) ([]Slope, error) {
+func MeasureFlows(ctx context.Context, p upstream.Protocol, sizes []int, hold time.Duration, progress io.Writer) ([]Slope, error) {
 	f, err := startFleet(ctx, FleetSize{2, 6}, p)
 	if err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 	var heap, cpu, net []Point
 	for _, n := range sizes {
 		fmt.Fprintf(progress, "measuring %d flows with an open feed each, upstream protocol %s\n", n, p)
-		end, err := f.Hold(ctx, n)
+		end, err := f.OpenFeeds(ctx, n)
 		if err != nil {
 			return nil, err
 		}
--- a/capacity/run.go
+++ b/capacity/run.go
@@ -25,9 +25,9 @@
 
 // Validate returns all errors in the settings.
 func (o *Options) Validate() error {
-	var f settings.Faults
-	f.Want(o.Hold > 0, "--hold", "must be more than zero")
-	return f.All()
+	var f settings.Errors
+	f.Require(o.Hold > 0, "--hold", "must be more than zero")
+	return f.ErrOrNil()
 }
 
 // Run measures all slopes, prints a table and writes the JSON file and the plots
@@ -41,11 +41,13 @@
 	fmt.Fprintf(out, "%s %s/%s, %d processors\n", runtime.Version(), runtime.GOOS, runtime.GOARCH, runtime.NumCPU())
 	var all []Slope
 	for _, f := range []func() ([]Slope, error){
-		func() ([]Slope, error) { return Bundles([]int{109, 218, 435, Addresses}) },
-		func() ([]Slope, error) { return Views([]int{350, 700, 1400, Nodes + Upstreams}, Addresses) },
-		func() ([]Slope, error) { return Flows(ctx, upstream.ProtocolHTTP1, flows, o.Hold, progress) },
-		func() ([]Slope, error) { return Flows(ctx, upstream.ProtocolH2C, flows, o.Hold, progress) },
-		func() ([]Slope, error) { return Fleets(ctx, fleets, o.Hold, progress) },
+		func() ([]Slope, error) { return MeasureBundles([]int{109, 218, 435, ServiceAddresses}) },
+		func() ([]Slope, error) {
+			return MeasureViews([]int{350, 700, 1400, Nodes + Upstreams}, ServiceAddresses)
+		},
+		func() ([]Slope, error) { return MeasureFlows(ctx, upstream.ProtocolHTTP1, flows, o.Hold, progress) },
+		func() ([]Slope, error) { return MeasureFlows(ctx, upstream.ProtocolH2C, flows, o.Hold, progress) },
+		func() ([]Slope, error) { return MeasureFleets(ctx, fleets, o.Hold, progress) },
 	} {
 		ss, err := f()
 		if err != nil {
--- a/cli/bundle.go
+++ b/cli/bundle.go
@@ -38,19 +38,19 @@
 	return eris.Errorf("unknown command %q", cmd)
 }
 
-// desk returns a client for the bundles on the platform.
-func (o PlatformOptions) desk() (*operator.Desk, error) {
+// bundleClient returns a client for the bundles on the platform.
+func (o PlatformOptions) bundleClient() (*operator.BundleClient, error) {
 	v, err := bundle.NewVerifier(o.Trust)
 	if err != nil {
 		return nil, eris.Wrap(err, "--trust ($POMELOWAY_TRUST)")
 	}
-	return &operator.Desk{Store: &platform.Client{URL: o.Platform, Token: o.Token}, Verifier: v}, nil
+	return &operator.BundleClient{Store: &platform.Client{URL: o.Platform, Token: o.Token}, Verifier: v}, nil
 }
 
 // current returns the bundle client and the bundle in force, which is nil until
 // the first one is accepted.
-func (o PlatformOptions) current(ctx context.Context) (*operator.Desk, *bundle.Accepted, error) {
-	d, err := o.desk()
+func (o PlatformOptions) current(ctx context.Context) (*operator.BundleClient, *bundle.Accepted, error) {
+	d, err := o.bundleClient()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -59,12 +59,12 @@
 }
 
 // signer returns the bundle client and the operator's secret key.
-func (o SignOptions) signer() (*operator.Desk, minisign.PrivateKey, error) {
+func (o SignOptions) signer() (*operator.BundleClient, minisign.PrivateKey, error) {
 	k, err := o.key()
 	if err != nil {
 		return nil, k, err
 	}
-	d, err := o.desk()
+	d, err := o.bundleClient()
 	return d, k, err
 }
 
@@ -206,12 +206,12 @@
 	if err != nil {
 		return err
 	}
-	d, err := o.desk()
+	d, err := o.bundleClient()
 	if err != nil {
 		return err
 	}
 	a, err := d.Accept(ctx, x)
-	var c *operator.Conflict
+	var c *operator.ConflictError
 	if errors.As(err, &c) && c.Current != nil {
 		printDiff(s, fmt.Sprintf("version %d by %s, in force", c.Current.Version, c.Current.Author), c.Current.Signed.Text, o.File, x.Text)
 	}
@@ -261,7 +261,7 @@
 	return nil
 }
 
-func setZoneState(ctx context.Context, o ZoneMove, to bundle.ZoneState, s streams) error {
+func setZoneState(ctx context.Context, o ZoneStateChange, to bundle.ZoneState, s streams) error {
 	d, k, err := o.signer()
 	if err != nil {
 		return err
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -51,7 +51,7 @@
 			return eris.Wrap(err, n)
 		}
 	}
-	trace := explain.Story(ls, o.What)
+	trace := explain.Trace(ls, o.What)
 	if len(trace) == 0 {
 		return eris.Errorf("none of %d log lines mentions %s; lines may have been left out, see linesLeftOut in /state", len(ls), o.What)
 	}
--- a/cli/options.go
+++ b/cli/options.go
@@ -141,12 +141,12 @@
 
 // ZoneOptions are the zone commands.
 type ZoneOptions struct {
-	Out ZoneMove `cmd:"" help:"Take an availability zone out of service; its flows are abandoned."`
-	In  ZoneMove `cmd:"" help:"Bring an availability zone back into service."`
+	Out ZoneStateChange `cmd:"" help:"Take an availability zone out of service; its flows are abandoned."`
+	In  ZoneStateChange `cmd:"" help:"Bring an availability zone back into service."`
 }
 
-// ZoneMove are the options of the zone out and zone in commands.
-type ZoneMove struct {
+// ZoneStateChange are the options of the zone out and zone in commands.
+type ZoneStateChange struct {
 	SignOptions
 	Zone bundle.Name `arg:"" help:"Name of the availability zone."`
 }
--- a/cli/run.go
+++ b/cli/run.go
@@ -163,7 +163,7 @@
 	}
 	fmt.Fprintln(w, "pomeloway:", err)
 	switch {
-	case errors.Is(err, operator.ErrUnknown):
+	case errors.Is(err, operator.ErrOutcomeUnknown):
 		return exitOutcomeUnknown
 	case errors.Is(err, operator.ErrNotAccepted):
 		return exitNotAccepted
--- a/cli/script_test.go
+++ b/cli/script_test.go
@@ -51,7 +51,7 @@
 				case "lose":
 					f.LoseAnswers = 1
 				}
-				ts.Value("platform").(*standin.Platform).Set(f)
+				ts.Value("platform").(*standin.Platform).SetFaults(f)
 			},
 			// setfrom VAR FILE sets VAR to the value of the line VAR=value in FILE.
 			"setfrom": func(ts *testscript.TestScript, _ bool, args []string) {
--- a/cli/standin.go
+++ b/cli/standin.go
@@ -101,7 +101,7 @@
 			for _, a := range targets {
 				to = append(to, netip.AddrPortFrom(a, svc.Port()))
 			}
-			f.Set(svc, to)
+			f.SetBalancers(svc, to)
 		}
 		select {
 		case <-time.After(fabricPollInterval):
--- a/cli/status.go
+++ b/cli/status.go
@@ -45,7 +45,7 @@
 }
 
 // memberIDs returns the IDs of the members, separated by commas.
-func memberIDs(rows []operator.Row) string {
+func memberIDs(rows []operator.MemberStatus) string {
 	var n []string
 	for _, r := range rows {
 		n = append(n, string(r.Member.ID))
@@ -55,8 +55,8 @@
 
 // queryMembers queries all members once. It returns their status and the newest
 // known version, which every member should have in force.
-func queryMembers(ctx context.Context, o StatusOptions) ([]operator.Row, bundle.Version, error) {
-	var v operator.Survey
+func queryMembers(ctx context.Context, o StatusOptions) ([]operator.MemberStatus, bundle.Version, error) {
+	var v operator.StatusClient
 	c := &platform.Client{URL: o.Platform, Token: o.Token}
 	var ms []fleet.Member
 	var err error
@@ -68,8 +68,8 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	rows := v.Ask(ctx, ms)
-	return rows, max(operator.Newest(rows), storedVersion(ctx, c, o)), nil
+	rows := v.Query(ctx, ms)
+	return rows, max(operator.NewestVersion(rows), storedVersion(ctx, c, o)), nil
 }
 
 // storedVersion returns the version of the bundle on the platform, without checking
@@ -90,7 +90,7 @@
 	return b.ClaimedVersion()
 }
 
-func printStatus(rows []operator.Row, asJSON bool, s streams) error {
+func printStatus(rows []operator.MemberStatus, asJSON bool, s streams) error {
 	if asJSON {
 		e := json.NewEncoder(s.out)
 		e.SetIndent("", "  ")
--- a/cmd/pomeloway-datagram/main.go
+++ b/cmd/pomeloway-datagram/main.go
@@ -38,7 +38,7 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "pomeloway-datagram:", err)
-	if f := (settings.Faults)(nil); errors.As(err, &f) {
+	if f := (settings.Errors)(nil); errors.As(err, &f) {
 		os.Exit(exitUsage)
 	}
 	os.Exit(exitFailed)
--- a/datagram/flows.go
+++ b/datagram/flows.go
@@ -189,7 +189,7 @@
 	f.hasRequest, f.requestStart = true, now
 	a.underWay++
 	if a.Log != nil {
-		a.Log.logDecision(decision{event: events.RequestSeen, flow: k.Flow, request: a.Format.RequestID(p), hop: uint8(min(a.underWay, 255)), version: a.version}, now)
+		a.Log.logDecision(decision{event: events.RequestUnderWay, flow: k.Flow, request: a.Format.RequestID(p), hop: uint8(min(a.underWay, 255)), version: a.version}, now)
 	}
 }
 
--- a/datagram/log.go
+++ b/datagram/log.go
@@ -46,7 +46,7 @@
 		l.LeftOut++
 		return
 	}
-	l.Log.Decide(events.Decision{
+	l.Log.AddDecision(events.Decision{
 		ID: d.event, Reason: events.Reason(d.reason.String()), Caller: d.flow.Caller.AddrPort(), Address: d.flow.Address.AddrPort(),
 		Target: target(d.agent), Hop: int(d.hop), Class: int(d.class), Version: uint64(d.version), Age: d.age, Request: d.request,
 	})
@@ -77,7 +77,7 @@
 	if l == nil || l.Log == nil {
 		return
 	}
-	l.Log.Add(events.NearChanged, slog.Int("near", near), slog.Int("balancers", balancers), slog.Int("agents", agents))
+	l.Log.Add(events.NearBalancersChanged, slog.Int("near", near), slog.Int("balancers", balancers), slog.Int("agents", agents))
 }
 
 // entriesMissing logs that an agent is asked to send its flows again.
--- a/datagram/openings.go
+++ b/datagram/openings.go
@@ -287,7 +287,7 @@
 		b.Count.NoAgent++
 	}
 	if o.inconclusive || o.attempts == 0 {
-		b.Log.logDecision(decision{event: events.OpeningUnplaced, flow: o.flow, hop: uint8(o.attempts), reason: ReasonNoAgent, version: b.ConfigurationVersion(), age: now - o.started}, now)
+		b.Log.logDecision(decision{event: events.OpeningNoAgent, flow: o.flow, hop: uint8(o.attempts), reason: ReasonNoAgent, version: b.ConfigurationVersion(), age: now - o.started}, now)
 		return
 	}
 	p, _ := b.Format.Parse(o.packet[HeaderLen : HeaderLen+o.length])
--- a/demo/bench_test.go
+++ b/demo/bench_test.go
@@ -30,13 +30,13 @@
 	return n, nil
 }
 
-// BenchmarkSprayed echoes 64 MiB over one flow through one balancer, and through
+// BenchmarkReordering echoes 64 MiB over one flow through one balancer, and through
 // three that the fabric distributes its datagrams over at random. The difference
 // is the cost of reordering.
-func BenchmarkSprayed(b *testing.B) {
+func BenchmarkReordering(b *testing.B) {
 	for name, balancers := range map[string]int{"one": 1, "three": 3} {
 		b.Run(name, func(b *testing.B) {
-			d := Deployment{Name: "echo", Zones: Deployments["agency"].Zones, Balancers: balancers, Services: []ServiceSize{{Name: "web", Upstreams: 1, Slots: 5, Connections: 100}}}
+			d := Deployment{Name: "echo", Zones: Deployments["agency"].Zones, Balancers: balancers, Services: []ServiceSpec{{Name: "web", Upstreams: 1, Slots: 5, Connections: 100}}}
 			s, rec := startDeployment(b, d, guard.Off{})
 			f, err := openFlow(b.Context(), s, rec, 0)
 			if err != nil {
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -95,7 +95,7 @@
 // acceptingAgents returns the IDs of the agents that accept new flows, by service.
 func (s *Site) acceptingAgents() map[string][]string {
 	out := map[string][]string{}
-	for _, u := range s.Units() {
+	for _, u := range s.RunningUpstreams() {
 		if !s.isZoneOut(u.zone) {
 			out[u.Service] = append(out[u.Service], string(u.agent.Node.Self().ID))
 		}
@@ -106,13 +106,13 @@
 // addCounters adds the counters of the upstreams and of the platform to the
 // report.
 func (s *Site) addCounters(r *Report, x *script) {
-	r.RunTwice = s.Ledger.Twice()
+	r.RunTwice = s.Ledger.CountRepeated()
 	for _, u := range s.startedUpstreams() {
 		r.Misrouted += int(u.Misrouted.Load())
 		r.OverSlots += int(u.OverSlots.Load())
 		r.OverCold += int(u.OverWarned.Load())
 		r.OverColdUnwarned += int(u.OverCold.Load() - u.OverWarned.Load())
-		for _, text := range u.Over() {
+		for _, text := range u.OverloadNotes() {
 			r.Causes[text]++
 		}
 	}
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -19,13 +19,13 @@
 type Deployment struct {
 	Name     string
 	Zones    []bundle.Name
-	Services []ServiceSize
+	Services []ServiceSpec
 	// Balancers is the number of VMs that run a balancer.
 	Balancers int
 }
 
-// ServiceSize describes one service of a deployment.
-type ServiceSize struct {
+// ServiceSpec describes one service of a deployment.
+type ServiceSpec struct {
 	Name                          bundle.Name
 	Upstreams, Slots, Connections int
 	// Upload makes callers upload to the service; otherwise they read feeds and
@@ -42,14 +42,14 @@
 var Deployments = map[string]Deployment{
 	"agency": {
 		Name: "agency", Zones: []bundle.Name{"dar-1", "dar-2", "dar-3"}, Balancers: 3,
-		Services: []ServiceSize{
+		Services: []ServiceSpec{
 			{Name: "letters", Upstreams: 7, Slots: 5, Connections: 2000, Protocol: upstream.ProtocolH2C},
 			{Name: "scans", Upstreams: 3, Slots: 5, Connections: 2000, Upload: true},
 		},
 	},
 	"saltbush": {
 		Name: "saltbush", Zones: []bundle.Name{"perth-1", "perth-2", "perth-3", "perth-4"}, Balancers: 4,
-		Services: []ServiceSize{
+		Services: []ServiceSpec{
 			{Name: "ordering", Upstreams: 7, Slots: 6, Connections: 2000},
 			{Name: "schedules", Upstreams: 4, Slots: 6, Connections: 2000, Upload: true, Protocol: upstream.ProtocolH2C},
 		},
@@ -93,9 +93,9 @@
 // queuePerSlot is the length of an upstream's queue per slot.
 const queuePerSlot = 8
 
-// Text returns the text of the deployment's first bundle, with the addresses of
+// BundleText returns the text of the deployment's first bundle, with the addresses of
 // all services on the host.
-func (d Deployment) Text(host netip.Addr, key keyring.Secret) []byte {
+func (d Deployment) BundleText(host netip.Addr, key keyring.Secret) []byte {
 	type service struct {
 		ID, Slots, Connections, Queue int
 		Name                          bundle.Name
--- a/demo/faults_test.go
+++ b/demo/faults_test.go
@@ -46,7 +46,7 @@
 // shortly after each other while callers read feeds, upload and order; one of them
 // reports that it drains before its agent does. All started requests must finish,
 // and a draining upstream must get no new work after 3 s.
-func TestDrainCutsNothing(t *testing.T) {
+func TestDrainInterruptsNoRequest(t *testing.T) {
 	for _, name := range []string{"agency", "saltbush"} {
 		t.Run(name, func(t *testing.T) {
 			s, rec := startSite(t, name, guard.Off{})
@@ -54,13 +54,13 @@
 			var at []time.Time
 			r := runDuring(t, s, rec, 40, func(ctx context.Context) {
 				for i := range 2 {
-					u := s.Units()[0]
+					u := s.RunningUpstreams()[0]
 					drained, at = append(drained, u), append(at, time.Now())
 					if i == 1 {
 						u.Drain(true) // the upstream reports it before its agent is stopped
 						time.Sleep(1500 * time.Millisecond)
 					}
-					go s.StopUnit(u)
+					go s.StopUpstream(u)
 					time.Sleep(500 * time.Millisecond)
 					s.AddUpstream(0, u.zone)
 				}
@@ -87,7 +87,7 @@
 	s, rec := startSite(t, "saltbush", guard.Off{})
 	r := runDuring(t, s, rec, 60, func(ctx context.Context) {
 		for range 2 {
-			for _, u := range s.Units()[:2] {
+			for _, u := range s.RunningUpstreams()[:2] {
 				u.TurnCold()
 			}
 			time.Sleep(2500 * time.Millisecond)
@@ -101,9 +101,9 @@
 // platform answers slowly, and the path from the fabric to one caller drops all
 // datagrams. The zone's upstreams must stop working within 3 s, flows in other
 // zones must not break, and the zone's return must break nothing.
-func TestZoneOutAndBack(t *testing.T) {
+func TestZoneIsTakenOutAndReturned(t *testing.T) {
 	s, rec := startSite(t, "saltbush", guard.Off{})
-	s.Platform.Set(standin.Faults{Delay: 200 * time.Millisecond})
+	s.Platform.SetFaults(standin.Faults{Delay: 200 * time.Millisecond})
 	var last time.Duration
 	r := runDuring(t, s, rec, 60, func(ctx context.Context) {
 		x := &script{s: s, rec: rec}
@@ -117,7 +117,7 @@
 		dropDatagrams(t, muted, false, false)
 		requireReset(t, muted)
 		time.Sleep(time.Until(x.zoneOutAt.Add(3 * time.Second)))
-		for _, u := range s.Units() {
+		for _, u := range s.RunningUpstreams() {
 			if u.zone == outZone {
 				last = max(last, time.Unix(0, max(u.LastWork.Load(), u.LastSent.Load())).Sub(x.zoneOutAt))
 			}
@@ -176,10 +176,10 @@
 // the platform, a new balancer and a new agent must serve callers with the bundle
 // that they get from their peers. After the outage the processes must not send
 // the platform a burst of calls.
-func TestNewbornsServeWhileThePlatformIsDown(t *testing.T) {
+func TestNewProcessesServeDuringPlatformOutage(t *testing.T) {
 	s, rec := startSite(t, "agency", guard.Off{})
 	r := runDuring(t, s, rec, 40, func(ctx context.Context) {
-		s.Platform.Set(standin.Faults{Outage: true})
+		s.Platform.SetFaults(standin.Faults{Outage: true})
 		time.Sleep(500 * time.Millisecond)
 		b, err := s.AddBalancer(1)
 		if err != nil {
@@ -197,11 +197,11 @@
 		}
 		s.SyncFabric()
 		before := s.Platform.Counts()
-		s.Platform.Set(standin.Faults{})
+		s.Platform.SetFaults(standin.Faults{})
 		time.Sleep(3 * time.Second)
 		after := s.Platform.Counts()
 		if n := after.Reads + after.Writes - before.Reads - before.Writes; n > 60 {
-			t.Errorf("%d calls to the platform in the 3 s after the outage, from %d processes", n, len(s.Units())+len(s.Balancers()))
+			t.Errorf("%d calls to the platform in the 3 s after the outage, from %d processes", n, len(s.RunningUpstreams())+len(s.Balancers()))
 		}
 	})
 	requireInvariants(t, r)
@@ -236,7 +236,7 @@
 // agent at its address. An upstream's VM is killed and another starts at the same
 // address. A request on an old flow must fail within 5 s, and a repeated order
 // must not run again but get an unknown outcome.
-func TestNextLifeTakesNothingOfTheOld(t *testing.T) {
+func TestReplacementRejectsFlowsAndKeysOfKilledAgent(t *testing.T) {
 	s, rec := startSite(t, "agency", guard.Off{})
 	var f *flow
 	for f == nil || f.agentID.Load() == nil {
@@ -256,7 +256,7 @@
 		t.Fatalf("%+v, %v", r, err)
 	}
 	old := s.upstreamOf(*f.agentID.Load())
-	s.KillUnit(old)
+	s.KillUpstream(old)
 	if _, err := s.startUpstream(old.service, old.zone, old.opts.Link.Addr()); err != nil {
 		t.Fatal(err)
 	}
@@ -289,7 +289,7 @@
 
 // Guards against a report that misses failures: with each guard switched off, the
 // report must show the failure that the guard prevents.
-func TestReportShowsASwitchedOffGuard(t *testing.T) {
+func TestReportShowsDisabledGuard(t *testing.T) {
 	for name, shows := range map[guard.Name]func(*Report) bool{
 		guard.Journal: func(r *Report) bool { return r.RunTwice > 0 },
 		guard.Slots:   func(r *Report) bool { return r.OverSlots+r.OverCold > 0 },
@@ -343,7 +343,7 @@
 	limit, stop := context.WithTimeout(ctx, 20*time.Second)
 	defer stop()
 	var f *flow
-	if poll(limit, func() bool { f = openFlowAt(limit, s, s.Units()[0]); return f != nil }) != nil {
+	if poll(limit, func() bool { f = openFlowAt(limit, s, s.RunningUpstreams()[0]); return f != nil }) != nil {
 		t.Fatal("no flow reached the upstream that is to drain")
 	}
 	defer f.close()
@@ -386,7 +386,7 @@
 // Guards against a flow that breaks at an oversized header. A request with a header
 // of 80 kB must get status 431 and must not run, and the next request on the flow
 // must be answered.
-func TestHeaderOverTheLimitIsRefused(t *testing.T) {
+func TestOversizedHeaderIsRefused(t *testing.T) {
 	s, rec := startSite(t, "agency", guard.Off{})
 	f, err := openFlow(t.Context(), s, rec, 0)
 	if err != nil {
--- a/demo/measure.go
+++ b/demo/measure.go
@@ -17,7 +17,7 @@
 // StartFleet starts a site with one service. The given numbers of balancers and
 // upstreams are distributed over the zones; agents use protocol p to upstreams.
 func StartFleet(ctx context.Context, balancers, upstreams, zones int, p upstream.Protocol) (*Fleet, error) {
-	d := Deployment{Name: "fleet", Balancers: balancers, Services: []ServiceSize{{Name: "web", Upstreams: upstreams, Slots: 6, Connections: 8000, Protocol: p}}}
+	d := Deployment{Name: "fleet", Balancers: balancers, Services: []ServiceSpec{{Name: "web", Upstreams: upstreams, Slots: 6, Connections: 8000, Protocol: p}}}
 	for z := range zones {
 		d.Zones = append(d.Zones, bundle.Name(fmt.Sprintf("zone-%d", z+1)))
 	}
@@ -36,10 +36,10 @@
 // Close stops the fleet.
 func (f *Fleet) Close() { f.s.Close() }
 
-// Change accepts one more bundle and returns the time until it is in force in
+// ChangeBundle accepts one more bundle and returns the time until it is in force in
 // every process.
-func (f *Fleet) Change(ctx context.Context) (time.Duration, error) {
-	cur, err := f.s.Desk.Current(ctx)
+func (f *Fleet) ChangeBundle(ctx context.Context) (time.Duration, error) {
+	cur, err := f.s.Bundles.Current(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -47,13 +47,13 @@
 	if err := f.s.acceptBundle(ctx, append([]byte("# Touched.\n"), cur.Signed.Text...)); err != nil {
 		return 0, err
 	}
-	err = f.s.InForce(ctx, cur.Version+1)
+	err = f.s.WaitInForce(ctx, cur.Version+1)
 	return time.Since(start), err
 }
 
-// Hold opens the given number of flows, each with a feed of one line per minute.
+// OpenFeeds opens the given number of flows, each with a feed of one line per minute.
 // The returned function closes them.
-func (f *Fleet) Hold(ctx context.Context, flows int) (end func(), err error) {
+func (f *Fleet) OpenFeeds(ctx context.Context, flows int) (end func(), err error) {
 	ctx, end = context.WithCancel(ctx)
 	rec := newRecorder()
 	for i := range flows {
--- a/demo/options.go
+++ b/demo/options.go
@@ -35,11 +35,11 @@
 
 // Validate returns all invalid settings as one error.
 func (o *Options) Validate() error {
-	var f settings.Faults
+	var f settings.Errors
 	_, ok := Deployments[o.Deployment]
-	f.Want(ok, "--deployment", "must be one of "+strings.Join(slices.Sorted(maps.Keys(Deployments)), ", "))
-	f.Want(o.Duration >= minDuration, "--duration", fmt.Sprintf("must be at least %v", minDuration))
-	f.Want(o.Callers > 0 && o.Callers <= maxCallers, "--callers", fmt.Sprintf("must be 1 to %d", maxCallers))
-	f.Want(o.Sabotage == "" || slices.Contains(sabotageGuards, o.Sabotage), "--sabotage", fmt.Sprintf("must be one of %v", sabotageGuards))
-	return f.All()
+	f.Require(ok, "--deployment", "must be one of "+strings.Join(slices.Sorted(maps.Keys(Deployments)), ", "))
+	f.Require(o.Duration >= minDuration, "--duration", fmt.Sprintf("must be at least %v", minDuration))
+	f.Require(o.Callers > 0 && o.Callers <= maxCallers, "--callers", fmt.Sprintf("must be 1 to %d", maxCallers))
+	f.Require(o.Sabotage == "" || slices.Contains(sabotageGuards, o.Sabotage), "--sabotage", fmt.Sprintf("must be one of %v", sabotageGuards))
+	return f.ErrOrNil()
 }
--- a/demo/overload_test.go
+++ b/demo/overload_test.go
@@ -19,7 +19,7 @@
 // once with a correct outcome, and not be overloaded further by its own retries.
 func TestOverloadKeepsGoodput(t *testing.T) {
 	// Four slots and queues for 32 requests cannot take a hundred callers.
-	d := Deployment{Name: "small", Zones: Deployments["agency"].Zones, Balancers: 3, Services: []ServiceSize{{Name: "web", Upstreams: 2, Slots: 2, Connections: 2000}}}
+	d := Deployment{Name: "small", Zones: Deployments["agency"].Zones, Balancers: 3, Services: []ServiceSpec{{Name: "web", Upstreams: 2, Slots: 2, Connections: 2000}}}
 	s, rec := startDeployment(t, d, guard.Off{})
 	warmUp(t, s, rec)
 	// The rates depend on the machine, so they are only logged; docs/MEASURES.md
--- a/demo/report_test.go
+++ b/demo/report_test.go
@@ -9,7 +9,7 @@
 // Guards against an average over a zone's whole move, which hides a single second
 // without answers. The report must list each second, and must leave out requests
 // that ended before or after the move.
-func TestEachSecondOfTheMoveShowsByItself(t *testing.T) {
+func TestReportListsEachSecondOfZoneMove(t *testing.T) {
 	from := time.Now()
 	r := newRecorder()
 	end := func(after time.Duration, answered bool) {
--- a/demo/request_bench_test.go
+++ b/demo/request_bench_test.go
@@ -17,9 +17,9 @@
 )
 
 // benchSite starts a site with one service and warm upstreams.
-func benchSite(b *testing.B, z ServiceSize) *Site {
+func benchSite(b *testing.B, z ServiceSpec) *Site {
 	b.Helper()
-	d := Deployment{Name: "bench", Zones: Deployments["agency"].Zones, Balancers: 3, Services: []ServiceSize{z}}
+	d := Deployment{Name: "bench", Zones: Deployments["agency"].Zones, Balancers: 3, Services: []ServiceSpec{z}}
 	s, _ := startDeployment(b, d, guard.Off{})
 	warmAll(b, s)
 	return s
@@ -51,7 +51,7 @@
 
 // isWarm reports whether all upstreams and their agents use all slots.
 func isWarm(s *Site) bool {
-	for _, u := range s.Units() {
+	for _, u := range s.RunningUpstreams() {
 		if u.Cold() || u.agent.Counts().Load.Slots < u.Slots {
 			return false
 		}
@@ -90,7 +90,7 @@
 func BenchmarkRequests(b *testing.B) {
 	for _, callers := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
-			s := benchSite(b, ServiceSize{Name: "web", Upstreams: 3, Slots: 64, Connections: 2000, Work: time.Nanosecond})
+			s := benchSite(b, ServiceSpec{Name: "web", Upstreams: 3, Slots: 64, Connections: 2000, Work: time.Nanosecond})
 			direct, through := directCallers(b, s, callers), throughCallers(b, s, callers)
 			var d, t []time.Duration
 			const round = time.Second
@@ -111,7 +111,7 @@
 
 // directCallers returns functions that request the screen from an upstream.
 func directCallers(b *testing.B, s *Site, n int) (out []func(context.Context) error) {
-	units := s.Units()
+	units := s.RunningUpstreams()
 	tr := &http.Transport{MaxIdleConnsPerHost: n}
 	b.Cleanup(tr.CloseIdleConnections)
 	for i := range n {
@@ -156,10 +156,10 @@
 // slots in use, as counted by the upstreams.
 func BenchmarkSlots(b *testing.B) {
 	const upstreams, slots = 6, 5
-	s := benchSite(b, ServiceSize{Name: "web", Upstreams: upstreams, Slots: slots, Connections: 2000})
+	s := benchSite(b, ServiceSpec{Name: "web", Upstreams: upstreams, Slots: slots, Connections: 2000})
 	var before uint64
 	served := func() (n uint64) {
-		for _, u := range s.Units() {
+		for _, u := range s.RunningUpstreams() {
 			n += u.Served.Load()
 		}
 		return n
@@ -180,7 +180,7 @@
 // before and its maximum during the upload. The heap includes callers, balancers
 // and the upstream.
 func BenchmarkUpload(b *testing.B) {
-	s := benchSite(b, ServiceSize{Name: "web", Upstreams: 1, Slots: 4, Connections: 100})
+	s := benchSite(b, ServiceSpec{Name: "web", Upstreams: 1, Slots: 4, Connections: 100})
 	f, err := openFlow(b.Context(), s, newRecorder(), 0)
 	if err != nil {
 		b.Fatal(err)
--- a/demo/scenario_test.go
+++ b/demo/scenario_test.go
@@ -115,7 +115,7 @@
 // one for two more seconds, and views arrive up to five seconds apart. Callers
 // that only read a feed send nothing from which an agent could learn another
 // return path.
-func TestFeedsSurviveBalancersComingAndGoing(t *testing.T) {
+func TestFeedsSurviveBalancerChurn(t *testing.T) {
 	flows, seconds := sizeFromEnv(t, "POMELOWAY_FLOWS", 60/callerDivisor), sizeFromEnv(t, "POMELOWAY_SECONDS", 6)
 	s, rec := startSite(t, "agency", guard.Off{})
 	s.Lag = func() time.Duration { return rand.N(5 * time.Second) }
@@ -143,7 +143,7 @@
 		}
 		poll(ctx, func() bool { return b.Status().Ready })
 		dead := s.Balancers()[0]
-		s.Kill(dead)
+		s.KillBalancer(dead)
 		s.SyncFabric(dead)
 		time.AfterFunc(fabricUpdateDelay, func() { s.SyncFabric() })
 		clock.Sleep(ctx, time.Second)
--- a/demo/script.go
+++ b/demo/script.go
@@ -79,7 +79,7 @@
 
 func (x *script) killBalancer(context.Context) error {
 	b := x.s.Balancers()[0]
-	x.s.Kill(b)
+	x.s.KillBalancer(b)
 	x.s.SyncFabric(b)
 	time.AfterFunc(fabricUpdateDelay, func() { x.s.SyncFabric() })
 	return nil
@@ -109,8 +109,8 @@
 }
 
 func (x *script) drain(context.Context) error {
-	x.drained, x.drainedAt = x.s.Units()[0], time.Now()
-	go x.s.StopUnit(x.drained)
+	x.drained, x.drainedAt = x.s.RunningUpstreams()[0], time.Now()
+	go x.s.StopUpstream(x.drained)
 	return nil
 }
 
@@ -120,29 +120,29 @@
 }
 
 func (x *script) turnCold(context.Context) error {
-	x.s.Units()[1].TurnCold()
+	x.s.RunningUpstreams()[1].TurnCold()
 	return nil
 }
 
 func (x *script) swapAnswers(context.Context) error {
-	for _, u := range x.s.Units() {
-		u.Cross(true)
+	for _, u := range x.s.RunningUpstreams() {
+		u.SwapAnswers(true)
 	}
 	time.AfterFunc(fabricUpdateDelay, func() {
-		for _, u := range x.s.Units() {
-			u.Cross(false)
+		for _, u := range x.s.RunningUpstreams() {
+			u.SwapAnswers(false)
 		}
 	})
 	return nil
 }
 
 func (x *script) platformDown(context.Context) error {
-	x.s.Platform.Set(standin.Faults{Outage: true})
+	x.s.Platform.SetFaults(standin.Faults{Outage: true})
 	return nil
 }
 
 func (x *script) platformUp(context.Context) error {
-	x.s.Platform.Set(standin.Faults{})
+	x.s.Platform.SetFaults(standin.Faults{})
 	return nil
 }
 
@@ -150,11 +150,11 @@
 // the next two writes, and measures the time until the bundle is in force in every
 // process.
 func (x *script) acceptWithLostAnswers(ctx context.Context) error {
-	cur, err := x.s.Desk.Current(ctx)
+	cur, err := x.s.Bundles.Current(ctx)
 	if err != nil {
 		return err
 	}
-	x.s.Platform.Set(standin.Faults{LoseAnswers: 2})
+	x.s.Platform.SetFaults(standin.Faults{LoseAnswers: 2})
 	start := time.Now()
 	if err := x.s.acceptBundle(ctx, append([]byte("# Touched.\n"), cur.Signed.Text...)); err != nil {
 		return err
@@ -165,7 +165,7 @@
 // measureInForce waits until the version is in force, and records the time since
 // start if it is the longest so far.
 func (x *script) measureInForce(ctx context.Context, v bundle.Version, start time.Time) error {
-	if err := x.s.InForce(ctx, v); err != nil {
+	if err := x.s.WaitInForce(ctx, v); err != nil {
 		return err
 	}
 	d := time.Since(start).Seconds()
@@ -179,7 +179,7 @@
 func (x *script) zoneOut(ctx context.Context) error {
 	x.moveFrom = time.Now()
 	x.s.markZoneOut(outZone)
-	a, err := x.s.Desk.SetZone(ctx, x.s.Deployment.Zones[outZone-1], bundle.ZoneStateOut, "demo", x.s.signingKey)
+	a, err := x.s.Bundles.SetZone(ctx, x.s.Deployment.Zones[outZone-1], bundle.ZoneStateOut, "demo", x.s.signingKey)
 	if err != nil {
 		return err
 	}
@@ -191,7 +191,7 @@
 // work or sent a line of a feed. It must run before the zone returns.
 func (x *script) measureZoneOut() {
 	var last time.Time
-	for _, u := range x.s.Units() {
+	for _, u := range x.s.RunningUpstreams() {
 		if t := time.Unix(0, max(u.LastWork.Load(), u.LastSent.Load())); u.zone == outZone && t.After(last) {
 			last = t
 		}
@@ -201,7 +201,7 @@
 
 func (x *script) zoneIn(ctx context.Context) error {
 	x.measureZoneOut()
-	a, err := x.s.Desk.SetZone(ctx, x.s.Deployment.Zones[outZone-1], bundle.ZoneStateIn, "demo", x.s.signingKey)
+	a, err := x.s.Bundles.SetZone(ctx, x.s.Deployment.Zones[outZone-1], bundle.ZoneStateIn, "demo", x.s.signingKey)
 	if err != nil {
 		return err
 	}
--- a/demo/silence_test.go
+++ b/demo/silence_test.go
@@ -36,7 +36,7 @@
 // Guards against a feed that breaks when the network between caller and fabric
 // drops all datagrams of its flow, in one or both directions, while new flows
 // work. The caller migrates the flow to a new port, and the agent must follow.
-func TestSilentPathIsLeftByMigration(t *testing.T) {
+func TestFlowMigratesOffSilentPath(t *testing.T) {
 	for name, x := range map[string]struct{ in, out bool }{"both ways": {true, true}, "towards the caller": {false, true}, "from the caller": {true, false}} {
 		t.Run(name, func(t *testing.T) {
 			s, rec := startSite(t, "agency", guard.Off{})
@@ -57,7 +57,7 @@
 // Guards against flows that stay open on a silent path when the caller can't
 // migrate. Both ends must close the flow within ten seconds: the caller to open a
 // new one, the agent to free its resources.
-func TestSilentPathIsFoundInSeconds(t *testing.T) {
+func TestSilentPathIsDetectedInSeconds(t *testing.T) {
 	s, rec := startSite(t, "agency", guard.Off{})
 	f, done := startFeed(t, s, rec, 1000)
 	time.Sleep(time.Second)
--- a/demo/site.go
+++ b/demo/site.go
@@ -32,7 +32,7 @@
 	Platform   *standin.Platform
 	Fabric     *standin.Fabric
 	Ledger     *standin.Ledger
-	Desk       *operator.Desk
+	Bundles    *operator.BundleClient
 
 	// Lag returns the delay of each view that a process receives. It applies to
 	// processes started after it is set; nil means no delay.
@@ -107,7 +107,7 @@
 		// different networks.
 		processOctet: byte(10 + os.Getpid()%240), siteOctet: byte(siteCount.Add(1)),
 	}
-	key, v, err := bundle.NewOperator()
+	key, v, err := bundle.NewOperatorKey()
 	if err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 	if err := s.startPlatform(); err != nil {
 		return nil, err
 	}
-	s.Desk = &operator.Desk{Store: &platform.Client{URL: s.platformURL}, Verifier: v}
+	s.Bundles = &operator.BundleClient{Store: &platform.Client{URL: s.platformURL}, Verifier: v}
 	for i := range d.Services {
 		if err := s.Fabric.Open(s.ServiceAddress(i)); err != nil {
 			return nil, eris.Wrap(err, "fabric")
@@ -160,7 +160,7 @@
 // Start accepts the first bundle, starts all balancers and upstreams of the
 // deployment, and waits until the site is ready.
 func (s *Site) Start(ctx context.Context) error {
-	if err := s.acceptBundle(ctx, s.Deployment.Text(s.addr(fabricHost), s.key)); err != nil {
+	if err := s.acceptBundle(ctx, s.Deployment.BundleText(s.addr(fabricHost), s.key)); err != nil {
 		return err
 	}
 	zones := len(s.Deployment.Zones)
@@ -183,11 +183,11 @@
 
 // acceptBundle signs the bundle text and makes it the accepted bundle.
 func (s *Site) acceptBundle(ctx context.Context, text []byte) error {
-	b, err := s.Desk.Sign(ctx, text, "demo", s.signingKey)
+	b, err := s.Bundles.Sign(ctx, text, "demo", s.signingKey)
 	if err != nil {
 		return err
 	}
-	_, err = s.Desk.Accept(ctx, b)
+	_, err = s.Bundles.Accept(ctx, b)
 	return err
 }
 
@@ -257,12 +257,12 @@
 		for _, b := range append(live, extra...) {
 			to = append(to, netip.AddrPortFrom(b.host, servicePort(i)))
 		}
-		s.Fabric.Set(s.ServiceAddress(i), to)
+		s.Fabric.SetBalancers(s.ServiceAddress(i), to)
 	}
 }
 
-// Kill stops a balancer without a graceful shutdown, as a crash does.
-func (s *Site) Kill(e *balancerVM) {
+// KillBalancer stops a balancer without a graceful shutdown, as a crash does.
+func (s *Site) KillBalancer(e *balancerVM) {
 	s.removeBalancer(e)
 	e.Kill()
 	<-e.done
@@ -286,8 +286,8 @@
 	}
 }
 
-// Units returns the running upstreams.
-func (s *Site) Units() []*upstreamVM {
+// RunningUpstreams returns the running upstreams.
+func (s *Site) RunningUpstreams() []*upstreamVM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*upstreamVM(nil), s.upstreams...)
@@ -310,7 +310,7 @@
 
 // upstreamOf returns the running upstream of the agent, or nil.
 func (s *Site) upstreamOf(agent string) *upstreamVM {
-	for _, u := range s.Units() {
+	for _, u := range s.RunningUpstreams() {
 		if string(u.agent.Node.Self().ID) == agent {
 			return u
 		}
@@ -320,7 +320,7 @@
 
 // feedCount returns the number of feeds that are open at the running upstreams.
 func (s *Site) feedCount() (n int64) {
-	for _, u := range s.Units() {
+	for _, u := range s.RunningUpstreams() {
 		n += u.Feeds.Load()
 	}
 	return n
@@ -328,7 +328,7 @@
 
 // flowCount returns the number of flows that are open at the running agents.
 func (s *Site) flowCount() (n int) {
-	for _, u := range s.Units() {
+	for _, u := range s.RunningUpstreams() {
 		n += u.agent.Counts().Flows
 	}
 	return n
@@ -379,16 +379,16 @@
 // pollInterval is the interval at which poll checks its condition.
 const pollInterval = 20 * time.Millisecond
 
-// InForce waits until every process has accepted the bundle version or a later
+// WaitInForce waits until every process has accepted the bundle version or a later
 // one.
-func (s *Site) InForce(ctx context.Context, v bundle.Version) error {
+func (s *Site) WaitInForce(ctx context.Context, v bundle.Version) error {
 	return poll(ctx, func() bool {
 		for _, b := range s.Balancers() {
 			if a := b.State.Accepted(); a == nil || a.Version < v {
 				return false
 			}
 		}
-		for _, u := range s.Units() {
+		for _, u := range s.RunningUpstreams() {
 			if a := u.agent.State.Accepted(); a == nil || a.Version < v {
 				return false
 			}
@@ -401,7 +401,7 @@
 // updates the fabric.
 func (s *Site) WaitReady(ctx context.Context) error {
 	return poll(ctx, func() bool {
-		n := len(s.Units())
+		n := len(s.RunningUpstreams())
 		for _, b := range s.Balancers() {
 			st := b.Status()
 			known := 0
@@ -435,11 +435,11 @@
 
 // Close stops all processes of the site without a graceful shutdown.
 func (s *Site) Close() {
-	for _, u := range s.Units() {
-		s.KillUnit(u)
+	for _, u := range s.RunningUpstreams() {
+		s.KillUpstream(u)
 	}
 	for _, b := range s.Balancers() {
-		s.Kill(b)
+		s.KillBalancer(b)
 	}
 	s.Fabric.Close()
 	s.platformServer.Close()
--- a/demo/unit.go
+++ b/demo/unit.go
@@ -60,17 +60,17 @@
 	return nil
 }
 
-// StopUnit stops an upstream and its agent gracefully.
-func (s *Site) StopUnit(u *upstreamVM) {
+// StopUpstream stops an upstream and its agent gracefully.
+func (s *Site) StopUpstream(u *upstreamVM) {
 	u.stop()
 	<-u.done
 	s.removeUpstream(u)
 	u.server.Close()
 }
 
-// KillUnit stops an upstream and its agent without a graceful shutdown, as the
+// KillUpstream stops an upstream and its agent without a graceful shutdown, as the
 // loss of their VM does.
-func (s *Site) KillUnit(u *upstreamVM) {
+func (s *Site) KillUpstream(u *upstreamVM) {
 	s.removeUpstream(u)
 	u.killed.Store(true)
 	u.server.Close()
--- a/demo/witness.go
+++ b/demo/witness.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w.up.Heard(standin.Heard{
+	w.up.ObserveResponse(standin.Response{
 		Sent: sent, Took: time.Since(sent),
 		Short: r.ContentLength >= 0 && r.ContentLength <= maxShortBody,
 		Shed:  a.StatusCode == http.StatusServiceUnavailable,
--- a/events/events.go
+++ b/events/events.go
@@ -12,50 +12,50 @@
 // Event numbers. The first digit gives the area: 1 flows, 2 requests, 3 members,
 // 4 bundles and availability zones, 5 links and platform, 6 programs.
 const (
-	FlowOpened      ID = 1001
-	FlowPassed      ID = 1002
-	FlowRefused     ID = 1003
-	FlowNoUpstream  ID = 1004
-	FlowDropped     ID = 1005
-	FlowClosed      ID = 1006
-	FlowBalancer    ID = 1007
-	FlowReset       ID = 1008
-	OpeningPlaced   ID = 1101
-	OpeningPassed   ID = 1102
-	OpeningRefused  ID = 1103
-	OpeningUnplaced ID = 1104
-	OpeningTaken    ID = 1105
-	OpeningDeclined ID = 1106
-	FlowEstablished ID = 1107
-	FlowNotFound    ID = 1108
-	FlowCut         ID = 1109
-	FlowFound       ID = 1110
-	RequestSeen     ID = 2201
-	UpstreamChanged ID = 2202
-	AgentChanged    ID = 3101
-	RecordRefused   ID = 3102
-	RecordRemoved   ID = 3103
-	RecordKept      ID = 3104
-	EntriesMissing  ID = 3105
-	NearChanged     ID = 3106
-	RequestPlaced   ID = 2001
-	RequestPassed   ID = 2002
-	RequestRefused  ID = 2003
-	RequestUnknown  ID = 2004
-	RequestReplayed ID = 2005
-	RequestToHome   ID = 2006
-	AnswerDropped   ID = 2007
-	UpstreamCold    ID = 2101
-	UpstreamWarm    ID = 2102
-	MemberJoined    ID = 3001
-	MemberChanged   ID = 3002
-	MemberDoubted   ID = 3003
-	MemberCleared   ID = 3004
-	MemberRemoved   ID = 3005
-	BundleInForce   ID = 4001
-	BundleRefused   ID = 4002
-	ZoneOut         ID = 4003
-	ZoneIn          ID = 4004
+	FlowOpened           ID = 1001
+	FlowPassed           ID = 1002
+	FlowRefused          ID = 1003
+	FlowNoUpstream       ID = 1004
+	FlowDropped          ID = 1005
+	FlowClosed           ID = 1006
+	ReturnPathMoved      ID = 1007
+	FlowReset            ID = 1008
+	OpeningPlaced        ID = 1101
+	OpeningPassed        ID = 1102
+	OpeningRefused       ID = 1103
+	OpeningNoAgent       ID = 1104
+	OpeningTaken         ID = 1105
+	OpeningDeclined      ID = 1106
+	FlowEstablished      ID = 1107
+	FlowNotFound         ID = 1108
+	FlowCut              ID = 1109
+	FlowFound            ID = 1110
+	RequestUnderWay      ID = 2201
+	UpstreamChanged      ID = 2202
+	AgentChanged         ID = 3101
+	RecordRefused        ID = 3102
+	RecordRemoved        ID = 3103
+	RecordNotRemoved     ID = 3104
+	EntriesMissing       ID = 3105
+	NearBalancersChanged ID = 3106
+	RequestPlaced        ID = 2001
+	RequestPassed        ID = 2002
+	RequestRefused       ID = 2003
+	RequestUnknown       ID = 2004
+	RequestReplayed      ID = 2005
+	RequestToHome        ID = 2006
+	AnswerDropped        ID = 2007
+	UpstreamCold         ID = 2101
+	UpstreamWarm         ID = 2102
+	MemberJoined         ID = 3001
+	MemberChanged        ID = 3002
+	MemberDoubted        ID = 3003
+	MemberCleared        ID = 3004
+	MemberRemoved        ID = 3005
+	BundleInForce        ID = 4001
+	BundleRefused        ID = 4002
+	ZoneOut              ID = 4003
+	ZoneIn               ID = 4004
 
 	ConfigurationInForce ID = 4101
 	ConfigurationRefused ID = 4102
@@ -88,26 +88,26 @@
 	{FlowNoUpstream, "opening without upstream", slog.LevelWarn},
 	{FlowDropped, "datagram dropped", slog.LevelWarn},
 	{FlowClosed, "flow closed", slog.LevelInfo},
-	{FlowBalancer, "return path switched to other balancers", slog.LevelInfo},
+	{ReturnPathMoved, "return path switched to other balancers", slog.LevelInfo},
 	{FlowReset, "flow reset", slog.LevelInfo},
 	{OpeningPlaced, "opening sent to an agent", slog.LevelInfo},
 	{OpeningPassed, "opening passed to the next agent", slog.LevelInfo},
 	{OpeningRefused, "opening reset", slog.LevelWarn},
-	{OpeningUnplaced, "no agent available for an opening", slog.LevelWarn},
+	{OpeningNoAgent, "no agent available for an opening", slog.LevelWarn},
 	{OpeningTaken, "opening sent to the upstream", slog.LevelInfo},
 	{OpeningDeclined, "opening declined", slog.LevelInfo},
 	{FlowEstablished, "opening accepted by the upstream", slog.LevelInfo},
 	{FlowNotFound, "flow not found", slog.LevelWarn},
 	{FlowCut, "flow reset because it no longer exists", slog.LevelWarn},
 	{FlowFound, "flow found", slog.LevelInfo},
-	{RequestSeen, "request under way", slog.LevelInfo},
+	{RequestUnderWay, "request under way", slog.LevelInfo},
 	{UpstreamChanged, "upstream changed", slog.LevelInfo},
 	{AgentChanged, "agent changed", slog.LevelInfo},
 	{RecordRefused, "member's record refused", slog.LevelWarn},
 	{RecordRemoved, "failed member's record removed", slog.LevelWarn},
-	{RecordKept, "failed member's record could not be removed", slog.LevelInfo},
+	{RecordNotRemoved, "failed member's record could not be removed", slog.LevelInfo},
 	{EntriesMissing, "flows requested again from an agent", slog.LevelInfo},
-	{NearChanged, "near balancers changed", slog.LevelInfo},
+	{NearBalancersChanged, "near balancers changed", slog.LevelInfo},
 	{AnnouncementRefused, "upstream's announcement refused", slog.LevelWarn},
 	{RequestPlaced, "request placed", slog.LevelInfo},
 	{RequestPassed, "request passed on", slog.LevelInfo},
--- a/events/events_test.go
+++ b/events/events_test.go
@@ -19,7 +19,7 @@
 
 var eventRow = regexp.MustCompile(`(?m)^\| (\d{4}) \| ([^|]+) \| (\w+) \|`)
 
-func TestCataloguePageAndCodeAgree(t *testing.T) {
+func TestCatalogueMatchesDocs(t *testing.T) {
 	b, err := os.ReadFile("../docs/EVENTS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 	return names
 }
 
-func TestEveryEventIsLoggedSomewhere(t *testing.T) {
+func TestEveryEventIsLogged(t *testing.T) {
 	f, err := parser.ParseFile(token.NewFileSet(), "events.go", nil, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -90,12 +90,12 @@
 
 // Run falls behind while a balancer handles a burst of openings. The hot path
 // must not block on the full queue, and the dropped decisions must be counted.
-func TestFullRingLosesAndCounts(t *testing.T) {
+func TestFullQueueDropsAndCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b bytes.Buffer
 		l := NewLog(slog.New(slog.NewTextHandler(&b, nil)))
 		for range queueSize + 5 {
-			l.Decide(Decision{ID: FlowOpened, Reason: ReasonFirst})
+			l.AddDecision(Decision{ID: FlowOpened, Reason: ReasonFirst})
 		}
 		if l.Lost() != 5 {
 			t.Errorf("%d decisions lost, want 5", l.Lost())
@@ -111,7 +111,7 @@
 
 func TestDecideAllocatesNothing(t *testing.T) {
 	l := NewLog(slog.New(slog.DiscardHandler))
-	if n := testing.AllocsPerRun(1000, func() { l.Decide(Decision{ID: FlowOpened}) }); n > 0 {
+	if n := testing.AllocsPerRun(1000, func() { l.AddDecision(Decision{ID: FlowOpened}) }); n > 0 {
 		t.Errorf("%v allocations per decision, want none", n)
 	}
 }
--- a/events/log.go
+++ b/events/log.go
@@ -45,19 +45,19 @@
 
 // Reasons of flow decisions.
 const (
-	ReasonFirst       Reason = "firstChoice"
-	ReasonNext        Reason = "nextChoice"
-	ReasonOwned       Reason = "alreadyOwned"
-	ReasonFull        Reason = "full"
-	ReasonLeaving     Reason = "leaving"
-	ReasonCold        Reason = "cold"
-	ReasonBusier      Reason = "busierThanNext"
-	ReasonZoneOut     Reason = "zoneOut"
-	ReasonService     Reason = "wrongService"
-	ReasonNotQUIC     Reason = "notQUIC"
-	ReasonBadToken    Reason = "unknownToken"
-	ReasonTooLong     Reason = "tooLong"
-	ReasonNoCandidate Reason = "noCandidate"
+	ReasonFirst        Reason = "firstChoice"
+	ReasonNext         Reason = "nextChoice"
+	ReasonOwned        Reason = "alreadyOwned"
+	ReasonFull         Reason = "full"
+	ReasonLeaving      Reason = "leaving"
+	ReasonCold         Reason = "cold"
+	ReasonBusier       Reason = "busierThanNext"
+	ReasonZoneOut      Reason = "zoneOut"
+	ReasonWrongService Reason = "wrongService"
+	ReasonNotQUIC      Reason = "notQUIC"
+	ReasonUnknownToken Reason = "unknownToken"
+	ReasonTooLong      Reason = "tooLong"
+	ReasonNoCandidate  Reason = "noCandidate"
 )
 
 // Decision is a routing decision of the hot path to be logged. It is a plain value,
@@ -80,9 +80,9 @@
 	Request string
 }
 
-// Decide queues a decision for Run to log. It never blocks: if the queue is full,
+// AddDecision queues a decision for Run to log. It never blocks: if the queue is full,
 // the decision is dropped and counted.
-func (l *Log) Decide(d Decision) {
+func (l *Log) AddDecision(d Decision) {
 	if l == nil || l.l == nil {
 		return
 	}
--- a/experiment/absence_test.go
+++ b/experiment/absence_test.go
@@ -22,7 +22,7 @@
 
 // Guards against resets of flows that a restarted upstream accepted before its first
 // heartbeat, when its agent doesn't know of the restart yet.
-func TestUpstreamThatStartsAnewKeepsItsNewFlows(t *testing.T) {
+func TestRestartedUpstreamKeepsItsNewFlows(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newSite(t, seed, 4, 7, 200)
 		for _, v := range w.agentsByAddress() {
--- a/experiment/cadence_test.go
+++ b/experiment/cadence_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against control traffic per VM that grows with the fleet beyond its limit.
-func TestControlTrafficStaysWithinANodesShare(t *testing.T) {
+func TestControlTrafficPerVMIsBounded(t *testing.T) {
 	for name, balancers := range map[string]int{"10 and 60": 10, "25 and 150": 25, "50 and 300": 50} {
 		t.Run(name, func(t *testing.T) {
 			w := newSite(t, 1, balancers, 6*balancers, 0)
@@ -30,7 +30,7 @@
 
 // Guards against balancers that notice a dead agent only when its next status is due.
 // In a large fleet, an agent sends its status to most balancers rarely.
-func TestDeathIsToldToTheWholeFleet(t *testing.T) {
+func TestWholeFleetDoubtsDeadAgent(t *testing.T) {
 	w := newSite(t, 1, 30, 180, 0)
 	dead := w.agentsByAddress()[7]
 	dead.stop()
@@ -52,7 +52,7 @@
 
 // Guards against a restarted balancer that knows some agents only after the long status
 // interval of a large fleet.
-func TestRestartedBalancerHearsAllAgentsAtOnce(t *testing.T) {
+func TestRestartedBalancerKnowsAllAgentsAtOnce(t *testing.T) {
 	w := newSite(t, 1, 30, 180, 0)
 	v := w.balancersByAddress()[3]
 	v.stop()
--- a/experiment/caller.go
+++ b/experiment/caller.go
@@ -113,7 +113,7 @@
 // handlePacket handles a packet from an upstream, or a reset that the load balancer
 // itself sent.
 func (c *caller) handlePacket(b []byte, from *upstream) {
-	p, ok := platform.Packets{}.ParseOutbound(b)
+	p, ok := platform.PacketFormat{}.ParseOutbound(b)
 	if !ok || p.Flow != c.flow() {
 		return
 	}
--- a/experiment/churn_test.go
+++ b/experiment/churn_test.go
@@ -47,7 +47,7 @@
 }
 
 // Guards against late or failed requests while there are no faults.
-func TestCalmSiteServesEverybody(t *testing.T) {
+func TestSiteWithoutFaultsServesAllRequests(t *testing.T) {
 	w := newSite(t, 1, 4, 7, 100)
 	w.runUntil(30 * time.Second)
 	w.checkBreaches(t)
@@ -58,7 +58,7 @@
 
 // Guards against resets of live flows by a balancer that has just started and doesn't know
 // them yet, while messages are delayed.
-func TestBalancerThatJustStartedCutsNoFlow(t *testing.T) {
+func TestRestartedBalancerResetsNoLiveFlow(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newSite(t, seed, 3, 7, 120)
 		w.maxMessageDelay = 20 * time.Millisecond
@@ -110,7 +110,7 @@
 }
 
 // Guards against lookups by new balancers that fail because one agent doesn't answer.
-func TestLookupsPassSilentAgents(t *testing.T) {
+func TestSilentAgentFailsNoLookup(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newSite(t, seed, 4, 7, 150)
 		n := 10
@@ -178,7 +178,7 @@
 
 // Guards against flows that are reset or misrouted when datagrams are lost while a
 // balancer is restarted.
-func TestLossAndDeathsBreakNothing(t *testing.T) {
+func TestDatagramLossAndRestartsBreakNoFlow(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newSite(t, seed, 4, 7, 150)
 		w.lossRate = 0.01
@@ -197,7 +197,7 @@
 
 // Guards against openings that are sent to a dead VM until its record is removed from the
 // store.
-func TestDeadAgentCostsOneOpeningEach(t *testing.T) {
+func TestOpeningsAvoidDeadAgent(t *testing.T) {
 	w := newSite(t, 3, 4, 7, 200)
 	for _, v := range w.agentsByAddress() {
 		v.stop()
--- a/experiment/cutoff_test.go
+++ b/experiment/cutoff_test.go
@@ -9,7 +9,7 @@
 
 // Guards against requests that fail because a balancer that is cut off from the fleet
 // remains ready, so that the router keeps sending it flows.
-func TestBalancerThatIsCutOffLeaves(t *testing.T) {
+func TestPartitionedBalancerIsNotReady(t *testing.T) {
 	for name, x := range map[string]struct {
 		balancers, agents int
 		detectionTime     time.Duration // time until the balancer must have stopped being ready
@@ -41,7 +41,7 @@
 
 // Guards against balancers that assume that they are cut off when all agents of a service
 // have died, and refuse openings instead of holding them until an agent returns.
-func TestServiceThatDiedIsNoCut(t *testing.T) {
+func TestDeadServiceIsNotTakenForPartition(t *testing.T) {
 	for name, x := range map[string]struct{ balancers, agents int }{
 		"small fleet with frequent statuses": {4, 3},
 		"large fleet with rare statuses":     {23, 60},
@@ -64,7 +64,7 @@
 
 // Guards against openings that are held by a balancer that is cut off instead of refused,
 // and against refusing an opening that an agent may have accepted already.
-func TestBalancerThatIsCutOffRefusesOpenings(t *testing.T) {
+func TestPartitionedBalancerRefusesOpenings(t *testing.T) {
 	for name, x := range map[string]struct {
 		sentBefore bool // the opening is first sent before the balancer notices the partition
 		paused     bool // the balancer was paused and not cut off
--- a/experiment/days_test.go
+++ b/experiment/days_test.go
@@ -11,7 +11,7 @@
 
 // Guards against the return of bugs that days with drawn faults have found. The first line
 // of each script gives the site, the seed and the cause.
-func TestDaysThatBrokeAPromise(t *testing.T) {
+func TestRecordedDaysHaveNoBreaches(t *testing.T) {
 	files, err := filepath.Glob("testdata/days/*.script")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%d scripts, %v", len(files), err)
--- a/experiment/draw_test.go
+++ b/experiment/draw_test.go
@@ -30,7 +30,7 @@
 }
 
 // Guards against reports of a breach that include faults that are not needed to cause it.
-func TestFewestFaultsAreLeft(t *testing.T) {
+func TestMinimizeRemovesNeedlessFaults(t *testing.T) {
 	got := minimize([]string{"a", "b", "c", "d", "e"}, func(x []string) bool {
 		return slices.Contains(x, "b") && slices.Contains(x, "e")
 	})
@@ -40,7 +40,7 @@
 }
 
 // Guards against a simulation that fails when drawn faults repeat or overlap.
-func TestDrawnDayIsPlayed(t *testing.T) {
+func TestSimulateDrawn(t *testing.T) {
 	o := testOptions()
 	o.Draw, o.Length = 12, 10*time.Second
 	d, err := o.simulateDrawn(PolicyIdler, 1)
--- a/experiment/experiment_test.go
+++ b/experiment/experiment_test.go
@@ -80,7 +80,7 @@
 }
 
 // Guards against errors in a script that are not reported, or without their line numbers.
-func TestScriptFindings(t *testing.T) {
+func TestScriptErrors(t *testing.T) {
 	for name, x := range map[string]struct{ text, want string }{
 		"unknown fault":       {"1s powr 1s", `line 1: "powr" is not a known fault`},
 		"invalid time":        {"\nsoon kill 1s", `line 2: "soon" is not a duration`},
@@ -102,7 +102,7 @@
 }
 
 // Guards against errors in the options that are not reported with their flags.
-func TestOptionsNameWhatIsWrong(t *testing.T) {
+func TestValidateNamesInvalidFlags(t *testing.T) {
 	o := Options{Policy: []Policy{"odd"}, Small: 1, Cores: -1, Link: -1, Draw: -1}
 	err := o.Validate()
 	for _, f := range []string{"--balancers", "--small", "--cores", "--link", "--agents", "--zones", "--draw", "--length", "--days", "--policy"} {
--- a/experiment/load_test.go
+++ b/experiment/load_test.go
@@ -12,7 +12,7 @@
 //
 // The test counts the requests that start in the second after the return of power, those
 // of them answered within the target latency, and the attempts that upstreams shed.
-func TestReturnOfAllCallersIsSpread(t *testing.T) {
+func TestReconnectingCallersAreBalanced(t *testing.T) {
 	type outcome struct{ begun, inAim, shed int }
 	measure := func(p datagram.Placement, busyAt float64) (o outcome) {
 		for seed := range uint64(10) {
@@ -45,7 +45,7 @@
 }
 
 // Guards against long-lived flows that concentrate on few upstreams.
-func TestFeedsAreSpread(t *testing.T) {
+func TestLongLivedFlowsAreBalanced(t *testing.T) {
 	for seed := range uint64(5) {
 		w := newSite(t, seed, 4, 7, 0)
 		for i := range 300 {
--- a/experiment/options.go
+++ b/experiment/options.go
@@ -73,22 +73,22 @@
 
 // Validate returns all errors in the settings, each with its flag.
 func (o *Options) Validate() error {
-	var f settings.Faults
-	f.Want(o.Balancers > 0 && o.Balancers <= maxVMs, "--balancers", "must be 1 to 4000")
-	f.Want(o.Small >= 0 && o.Small <= o.Balancers, "--small", "must be 0 to the number of balancers")
-	f.Want(o.Cores >= 0, "--cores", "must be 0 or more")
-	f.Want(o.Link >= 0, "--link", "must be 0 or more")
-	f.Want(o.Agents > 0 && o.Agents <= maxVMs, "--agents", "must be 1 to 4000")
-	f.Want(o.Zones > 0 && o.Zones <= o.Agents, "--zones", "must be 1 to the number of agents")
-	f.Want(o.Callers >= 0 && o.Callers <= maxCallers, "--callers", "must be 0 to 200000")
-	f.Want(o.Draw >= 0, "--draw", "must be 0 or more")
-	f.Want(o.Draw == 0 || o.Script == "", "--draw", "can't be used together with --script")
-	f.Want(o.Length >= time.Second && o.Length <= maxLength, "--length", "must be 1s to 10m")
-	f.Want(o.Days > 0, "--days", "must be 1 or more")
+	var f settings.Errors
+	f.Require(o.Balancers > 0 && o.Balancers <= maxVMs, "--balancers", "must be 1 to 4000")
+	f.Require(o.Small >= 0 && o.Small <= o.Balancers, "--small", "must be 0 to the number of balancers")
+	f.Require(o.Cores >= 0, "--cores", "must be 0 or more")
+	f.Require(o.Link >= 0, "--link", "must be 0 or more")
+	f.Require(o.Agents > 0 && o.Agents <= maxVMs, "--agents", "must be 1 to 4000")
+	f.Require(o.Zones > 0 && o.Zones <= o.Agents, "--zones", "must be 1 to the number of agents")
+	f.Require(o.Callers >= 0 && o.Callers <= maxCallers, "--callers", "must be 0 to 200000")
+	f.Require(o.Draw >= 0, "--draw", "must be 0 or more")
+	f.Require(o.Draw == 0 || o.Script == "", "--draw", "can't be used together with --script")
+	f.Require(o.Length >= time.Second && o.Length <= maxLength, "--length", "must be 1s to 10m")
+	f.Require(o.Days > 0, "--days", "must be 1 or more")
 	for _, p := range o.Policy {
-		f.Want(p == PolicyIdler || p == PolicyHash || p == PolicyUngated, "--policy", "must be idler, hash or ungated, not "+string(p))
+		f.Require(p == PolicyIdler || p == PolicyHash || p == PolicyUngated, "--policy", "must be idler, hash or ungated, not "+string(p))
 	}
-	return f.All()
+	return f.ErrOrNil()
 }
 
 // smallVMSize returns the size of a small VM.
--- a/experiment/script.go
+++ b/experiment/script.go
@@ -85,7 +85,7 @@
 // parseScript parses a script. It reports all errors together, each with its line number.
 func parseScript(r io.Reader, zones int) ([]fault, error) {
 	var out []fault
-	var problems settings.Faults
+	var problems settings.Errors
 	s := bufio.NewScanner(r)
 	for n := 1; s.Scan(); n++ {
 		text, _, _ := strings.Cut(s.Text(), "#")
@@ -109,7 +109,7 @@
 	if err := s.Err(); err != nil {
 		return nil, err
 	}
-	return out, problems.All()
+	return out, problems.ErrOrNil()
 }
 
 // args parses the words of a line one after another and collects the errors.
--- a/experiment/silence_test.go
+++ b/experiment/silence_test.go
@@ -29,7 +29,7 @@
 
 // Guards against live agents that balancers consider silent. An agent announces its status
 // interval; the failure occurs when a change of the fleet makes it send less often.
-func TestNoAgentThatLivesIsDoubted(t *testing.T) {
+func TestNoLiveAgentIsDoubted(t *testing.T) {
 	for name, change := range map[string]func(w *simulation){
 		"balancers restarted in turn with a slow store": func(w *simulation) {
 			w.storeLatency = 200 * time.Millisecond
@@ -67,7 +67,7 @@
 // Guards against resets of live flows by balancers that are cut off. Such a balancer asks
 // home balancers that are cut off with it, and these have not received the entries of
 // flows opened since.
-func TestFlowsOpenedDuringACutGoOn(t *testing.T) {
+func TestFlowsOpenedDuringPartitionContinue(t *testing.T) {
 	for seed := range uint64(6) {
 		w := newSite(t, seed, 23, 60, 0)
 		w.partition(7, 4*time.Second)
--- a/experiment/stranded_test.go
+++ b/experiment/stranded_test.go
@@ -49,7 +49,7 @@
 
 // Guards against an agent that dies just after it has joined the fleet, and that balancers
 // consider alive for too long.
-func TestAgentThatDiesAfterItsGreetingIsDoubted(t *testing.T) {
+func TestAgentThatDiesAfterJoiningIsDoubted(t *testing.T) {
 	w := newSite(t, 1, 12, 20, 0)
 	v := w.addAgent(30, "zone-1")
 	v.tick()
@@ -86,7 +86,7 @@
 
 // Guards against resets of flows whose agent serves them, but whose messages to balancers
 // are lost.
-func TestFlowsOfAnAgentThatIsNotHeardGoOn(t *testing.T) {
+func TestFlowsOfMutedAgentContinue(t *testing.T) {
 	for seed := range uint64(5) {
 		w := newSite(t, seed, 4, 7, 150)
 		v := w.agentsByAddress()[seed%7]
--- a/experiment/upstream.go
+++ b/experiment/upstream.go
@@ -113,7 +113,7 @@
 		if !u.alive {
 			return
 		}
-		p, ok := platform.Packets{}.Parse(b)
+		p, ok := platform.PacketFormat{}.Parse(b)
 		if !ok {
 			w.recordBreach("upstream got bytes that are no packet")
 			return
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -330,7 +330,7 @@
 	v.beginLife()
 	v.up, v.startedAt, v.nextTick = true, w.now, 0
 	v.frozen, v.pending = false, nil
-	v.b = &datagram.Balancer{Self: v.ip, Life: w.newLife(), Format: platform.Packets{}, Out: v, Keys: w.keys, Placement: w.placement, LookupRate: v.size.lookupRate()}
+	v.b = &datagram.Balancer{Self: v.ip, Life: w.newLife(), Format: platform.PacketFormat{}, Out: v, Keys: w.keys, Placement: w.placement, LookupRate: v.size.lookupRate()}
 	v.b.Start()
 	life := v.life
 	w.after(cmp.Or(w.storeLatency, defaultStoreLatency), func() {
@@ -439,7 +439,7 @@
 	}
 	w := v.w
 	v.up, v.startedAt, v.life = true, w.now, v.life+1
-	v.a = &datagram.Agent{Life: w.newLife(), Service: v.service, Zone: datagram.ZoneKeyOf(v.zone), Format: platform.Packets{}, Out: v, Keys: w.keys, BusyAt: w.busyAt}
+	v.a = &datagram.Agent{Life: w.newLife(), Service: v.service, Zone: datagram.ZoneKeyOf(v.zone), Format: platform.PacketFormat{}, Out: v, Keys: w.keys, BusyAt: w.busyAt}
 	life := v.life
 	v.a.Probe = func() {
 		w.after(time.Millisecond, func() {
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -59,11 +59,11 @@
 	return ls, eris.Wrap(s.Err(), "log")
 }
 
-// Story returns the lines about a request, given by its id, or about a caller,
+// Trace returns the lines about a request, given by its id, or about a caller,
 // given by its address and port, ordered by time. Besides the lines of the
 // caller's flows these are all lines without a caller, such as state changes of
 // agents, that the processes involved logged at about the same time.
-func Story(ls []Line, what string) []Line {
+func Trace(ls []Line, what string) []Line {
 	callers := map[string]bool{}
 	for _, l := range ls {
 		if what != "" && (l.Request == what || l.Caller == what) {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -17,7 +17,7 @@
 
 // An engineer looks up a slow request by its id in the interleaved logs of many
 // processes. The result must include the related events and no others.
-func TestStoryOfARequest(t *testing.T) {
+func TestTrace(t *testing.T) {
 	ls, err := Read(strings.NewReader(recordedLog))
 	if err != nil || len(ls) != 6 {
 		t.Fatalf("read %d lines, err %v", len(ls), err)
@@ -35,7 +35,7 @@
 		"empty":     {"", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := Story(ls, x.what)
+			got := Trace(ls, x.what)
 			if len(got) != len(x.want) {
 				t.Fatalf("got %d lines: %v", len(got), got)
 			}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -26,7 +26,7 @@
 // Views arrive by any path, late, more than once and out of order. If the result
 // depended on the order, processes would keep different views, and balancers would
 // permanently send the datagrams of one opening to different agents.
-func TestMergeEndsAlikeInAnyOrder(t *testing.T) {
+func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var parts []Change
 		for range rapid.IntRange(1, 12).Draw(t, "parts") {
@@ -64,7 +64,7 @@
 	return x
 }
 
-func TestSinceGivesWhatIsNew(t *testing.T) {
+func TestSinceReturnsOnlyChanges(t *testing.T) {
 	s := NewState(nil)
 	s.Merge(Change{Members: []Member{member(RoleAgent, 1, 1)}})
 	first := s.Since(0, 0, 0)
@@ -90,8 +90,8 @@
 // A slow peer, or a platform restored from last night's backup, delivers a bundle that
 // was in force before. Accepting it would silently revert what operators were told is
 // in force.
-func TestBundleNeverGoesBack(t *testing.T) {
-	key, v, err := bundle.NewOperator()
+func TestBundleVersionNeverDecreases(t *testing.T) {
+	key, v, err := bundle.NewOperatorKey()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 // A balancer that loses its link receives no heartbeats and doubts every agent. If the
 // doubt of one balancer were enough at once, all these agents would be considered failed,
 // and new flows would overload the few others.
-func TestVerdictWantsTwoObserversOrALastingDoubt(t *testing.T) {
+func TestDoubtedNeedsTwoObserversOrLastingDoubt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewState(nil)
 		m := member(RoleAgent, 1, 1)
@@ -152,25 +152,25 @@
 	})
 }
 
-func TestCollectForgetsTheDeadInTime(t *testing.T) {
+func TestRemoveExpiredAfterTombstoneTTL(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewState(nil)
 		m := member(RoleAgent, 1, 1)
 		m.Phase = PhaseLeft
 		s.Merge(Change{Members: []Member{m}, Opinions: []Opinion{{Observer: "b", Subject: m.ID, Life: 1, Stamp: 1}}})
-		s.Collect()
+		s.RemoveExpired()
 		if ms, _ := s.Snapshot(); len(ms) != 1 {
 			t.Fatal("the member was removed at once; a late copy of its record would be added as a new member")
 		}
 		time.Sleep(tombstoneTTL + time.Second)
-		s.Collect()
+		s.RemoveExpired()
 		if ms, os := s.Snapshot(); len(ms)+len(os) != 0 {
 			t.Errorf("not removed after tombstoneTTL: %v %v", ms, os)
 		}
 	})
 }
 
-func TestRankMovesOnlyWhatMust(t *testing.T) {
+func TestRankMovesOnlyKeysOfRemovedMember(t *testing.T) {
 	var ms []Member
 	for i := range 10 {
 		ms = append(ms, member(RoleAgent, byte(i+1), 1))
@@ -210,7 +210,7 @@
 // Balancers fail one after another, and their objects stay in the platform for minutes.
 // An agent whose three observers had all failed received no heartbeats, sent the lines of
 // its feeds through failed balancers, and the lines did not reach the callers.
-func TestDeadBalancersAreNoObservers(t *testing.T) {
+func TestObserversExcludeDoubtedBalancers(t *testing.T) {
 	var ms []Member
 	doubts := map[MemberID]bool{}
 	for i := range 20 {
@@ -230,7 +230,7 @@
 // An observer that doubts a member and then fails itself never withdraws its doubt. If
 // the doubt did not expire, a healthy member would stay a last choice until an operator
 // intervened.
-func TestDoubtOfADeadObserverFades(t *testing.T) {
+func TestDoubtOfFailedObserverExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewState(nil)
 		m := member(RoleAgent, 1, 1)
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -34,7 +34,7 @@
 }
 
 // MergeResult reports what a merge changed and refused.
-type Merged struct {
+type MergeResult struct {
 	// Joined are the new members. Changed are the known members with a newer record.
 	Joined, Changed   []Member
 	Opinions, Refused int
@@ -44,7 +44,7 @@
 }
 
 // Any reports whether anything changed.
-func (m Merged) Any() bool { return m.Bundle || len(m.Joined)+len(m.Changed)+m.Opinions > 0 }
+func (m MergeResult) Any() bool { return m.Bundle || len(m.Joined)+len(m.Changed)+m.Opinions > 0 }
 
 // entry is a member or an opinion with the time and revision of its changes.
 type entry[T any] struct {
@@ -92,7 +92,7 @@
 
 // ClosedChannel returns a closed channel. A loop that waits for changes uses it in the
 // first round, in order to read the present state at once.
-func Immediately() <-chan struct{} {
+func ClosedChannel() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
@@ -107,7 +107,7 @@
 
 // RecentBundles returns the texts of the last bundles before the one in force, the
 // latest first.
-func (s *State) Recent() []string {
+func (s *State) RecentBundles() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.recent
@@ -178,8 +178,8 @@
 }
 
 // Merge merges another process's view into s.
-func (s *State) Merge(c Change) Merged {
-	var m Merged
+func (s *State) Merge(c Change) MergeResult {
+	var m MergeResult
 	if c.Bundle != nil {
 		m.Bundle, m.Err = s.mergeBundle(*c.Bundle)
 	}
@@ -211,7 +211,7 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *State) mergeMember(v *Member, m *Merged) {
+func (s *State) mergeMember(v *Member, m *MergeResult) {
 	h, ok := s.members[v.ID]
 	if ok && !v.Newer(&h.v) {
 		return
@@ -229,7 +229,7 @@
 	}
 }
 
-func (s *State) mergeOpinion(v *Opinion, m *Merged) {
+func (s *State) mergeOpinion(v *Opinion, m *MergeResult) {
 	k := v.key()
 	h, ok := s.opinions[k]
 	if ok && v.Stamp <= h.v.Stamp {
@@ -280,7 +280,7 @@
 
 // RemoveExpired removes members that left and opinions on incarnations that ended, once
 // tombstoneTTL has passed since they last changed. It returns how many it removed.
-func (s *State) Collect() int {
+func (s *State) RemoveExpired() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -308,8 +308,8 @@
 	// DoubtInterval is how often an observer repeats that it doubts a member. doubtTTL
 	// is how long a doubt counts after the last repetition. Without it, the doubt of an
 	// observer that failed itself would count forever.
-	DoubtEvery = 30 * time.Second
-	doubtTTL   = 3 * DoubtEvery
+	DoubtInterval = 30 * time.Second
+	doubtTTL      = 3 * DoubtInterval
 )
 
 // Doubted returns the members whose current incarnation is considered failed.
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -39,4 +39,4 @@
 func Without(n Name) Off { return Off{n} }
 
 // Disabled reports whether the guard is switched off.
-func (o Off) Has(n Name) bool { return o.name != "" && o.name == n }
+func (o Off) Disabled(n Name) bool { return o.name != "" && o.name == n }
--- a/idempotency/idempotency_test.go
+++ b/idempotency/idempotency_test.go
@@ -19,7 +19,7 @@
 	return Key{Home: netip.MustParseAddrPort("10.0.0.1:7002"), Life: 77, Service: 1, Expires: noon.Add(time.Minute), Nonce: 5}
 }
 
-func TestKeysAreRefusedForAReason(t *testing.T) {
+func TestOpenReturnsReasonForRejection(t *testing.T) {
 	ring := keyring.Ring{keyring.NewSecret(1)}
 	s, foreign := NewSealer(ring), NewSealer(keyring.Ring{keyring.NewSecret(1)})
 	k := key()
@@ -31,7 +31,7 @@
 		want    error
 	}{
 		"valid":               {text, 1, noon, nil},
-		"other service":       {text, 2, noon, ErrService},
+		"other service":       {text, 2, noon, ErrWrongService},
 		"expired":             {text, 1, noon.Add(time.Minute), ErrExpired},
 		"other secret":        {foreign.Seal(k), 1, noon, ErrForged},
 		"modified ciphertext": {text[:20] + flip(text[20:21]) + text[21:], 1, noon, ErrForged},
@@ -58,7 +58,7 @@
 
 // A caller sends copies of an order over several flows, for example because the
 // first seemed slow. They reach the home at the same time; only one may run.
-func TestOneOfManyCopiesRuns(t *testing.T) {
+func TestConcurrentCopiesRunOnce(t *testing.T) {
 	var j Journal
 	var runs atomic.Int32
 	var w sync.WaitGroup
@@ -71,7 +71,7 @@
 			}
 			if isNew {
 				runs.Add(1)
-				j.Finish(key(), u, ResultAnswered, &Recorded{Status: 200, Body: []byte("1")})
+				j.Finish(key(), u, ResultAnswered, &RecordedResponse{Status: 200, Body: []byte("1")})
 			}
 			if res, rec, err := j.Wait(t.Context(), u); err != nil || res != ResultAnswered || string(rec.Body) != "1" {
 				t.Errorf("wrong result for a copy: %v, %v, %v", res, rec, err)
@@ -87,7 +87,7 @@
 // The upstream refuses an order without running it. The caller receives "not run"
 // and sends the order again with the same key. It must then run, and the caller must
 // not receive the recorded refusal. With any other result it must not run again.
-func TestNotRunFreesTheKeyAndUnknownDoesNot(t *testing.T) {
+func TestOnlyNotRunFreesTheKey(t *testing.T) {
 	for name, x := range map[string]struct {
 		result Result
 		again  bool
@@ -103,22 +103,22 @@
 	}
 }
 
-func TestKeyIsForOneRequest(t *testing.T) {
+func TestKeyReuseForOtherRequestIsRejected(t *testing.T) {
 	var j Journal
 	j.Begin(key(), "POST /order")
-	if _, _, err := j.Begin(key(), "POST /cancel"); !errors.Is(err, ErrOtherUse) {
+	if _, _, err := j.Begin(key(), "POST /cancel"); !errors.Is(err, ErrKeyReused) {
 		t.Errorf("err = %v, want ErrKeyReused", err)
 	}
 }
 
-func TestCollectKeepsWhatStillRuns(t *testing.T) {
+func TestRemoveExpiredKeepsRunningEntries(t *testing.T) {
 	var j Journal
 	done, running := key(), key()
 	running.Nonce = 6
 	u, _, _ := j.Begin(done, "a")
-	j.Finish(done, u, ResultAnswered, &Recorded{Body: make([]byte, 100)})
+	j.Finish(done, u, ResultAnswered, &RecordedResponse{Body: make([]byte, 100)})
 	j.Begin(running, "a")
-	j.Collect(noon.Add(time.Hour))
+	j.RemoveExpired(noon.Add(time.Hour))
 	if j.Len() != 1 || j.bytes != 0 {
 		t.Errorf("%d entries and %d bytes are left, want 1 and 0", j.Len(), j.bytes)
 	}
--- a/idempotency/journal.go
+++ b/idempotency/journal.go
@@ -22,7 +22,7 @@
 )
 
 // RecordedResponse is a response that can be sent again for the same key.
-type Recorded struct {
+type RecordedResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -31,7 +31,7 @@
 }
 
 // MaxRecordedBody is the maximum length of a recorded body, in bytes.
-const MaxRecorded = 64 << 10
+const MaxRecordedBody = 64 << 10
 
 // Limits of a journal.
 const (
@@ -43,25 +43,25 @@
 // Errors of Journal.Begin.
 var (
 	ErrJournalFull = errors.New("journal of keyed requests is full")
-	ErrOtherUse    = errors.New("idempotency key was used for another request")
+	ErrKeyReused   = errors.New("idempotency key was used for another request")
 )
 
 // Entry is the record of one request with an idempotency key.
-type Use struct {
+type Entry struct {
 	// fingerprint identifies the request that the key was first used for.
 	fingerprint string
 	expires     time.Time
 	// done is closed once result and recorded are set.
 	done     chan struct{}
 	result   Result
-	recorded *Recorded
+	recorded *RecordedResponse
 }
 
 // Journal keeps an entry for each used key that this process issued. The zero value
 // is ready to use.
 type Journal struct {
 	mu      sync.Mutex
-	entries map[Nonce]*Use
+	entries map[Nonce]*Entry
 	// bytes is the total length of the recorded bodies.
 	bytes int
 	// lastExpiry is the latest expiry of the keys that this process issued.
@@ -70,7 +70,7 @@
 
 // RecordIssued records that this process issued a key with the expiry. An agent
 // that leaves uses LastExpiry to stay available until its last key has expired.
-func (j *Journal) Issued(expires time.Time) {
+func (j *Journal) RecordIssued(expires time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if expires.After(j.lastExpiry) {
@@ -79,7 +79,7 @@
 }
 
 // LastExpiry returns the latest expiry of the keys that this process issued.
-func (j *Journal) Until() time.Time {
+func (j *Journal) LastExpiry() time.Time {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.lastExpiry
@@ -91,12 +91,12 @@
 // The entry is created before the request is sent to the upstream. Of two copies of
 // an order that arrive at the same time, the second therefore finds the entry of the
 // first and does not run.
-func (j *Journal) Begin(k Key, fingerprint string) (u *Use, isNew bool, err error) {
+func (j *Journal) Begin(k Key, fingerprint string) (u *Entry, isNew bool, err error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if u, ok := j.entries[k.Nonce]; ok {
 		if u.fingerprint != fingerprint {
-			return nil, false, ErrOtherUse
+			return nil, false, ErrKeyReused
 		}
 		return u, false, nil
 	}
@@ -107,15 +107,15 @@
 		return nil, false, ErrJournalFull
 	}
 	if j.entries == nil {
-		j.entries = map[Nonce]*Use{}
+		j.entries = map[Nonce]*Entry{}
 	}
-	u = &Use{fingerprint: fingerprint, expires: k.Expires, done: make(chan struct{})}
+	u = &Entry{fingerprint: fingerprint, expires: k.Expires, done: make(chan struct{})}
 	j.entries[k.Nonce] = u
 	return u, true, nil
 }
 
 // Finish sets the result of the entry and wakes all waiters.
-func (j *Journal) Finish(k Key, u *Use, r Result, rec *Recorded) {
+func (j *Journal) Finish(k Key, u *Entry, r Result, rec *RecordedResponse) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	u.result, u.recorded = r, rec
@@ -129,7 +129,7 @@
 }
 
 // Wait waits until the entry is finished and returns its result.
-func (j *Journal) Wait(ctx context.Context, u *Use) (Result, *Recorded, error) {
+func (j *Journal) Wait(ctx context.Context, u *Entry) (Result, *RecordedResponse, error) {
 	select {
 	case <-u.done:
 		return u.result, u.recorded, nil
@@ -140,7 +140,7 @@
 
 // RemoveExpired removes finished entries whose keys have expired. Requests with an
 // expired key are rejected before the journal is consulted.
-func (j *Journal) Collect(now time.Time) {
+func (j *Journal) RemoveExpired(now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.removeExpired(now)
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -34,9 +34,9 @@
 
 // Errors of Sealer.Open.
 var (
-	ErrForged  = errors.New("idempotency key was not issued by this fleet")
-	ErrExpired = errors.New("idempotency key has expired")
-	ErrService = errors.New("idempotency key was issued for another service")
+	ErrForged       = errors.New("idempotency key was not issued by this fleet")
+	ErrExpired      = errors.New("idempotency key has expired")
+	ErrWrongService = errors.New("idempotency key was issued for another service")
 )
 
 // Nonce identifies a key among those of the same home.
@@ -128,7 +128,7 @@
 	case err != nil:
 		return Key{}, err
 	case k.Service != want:
-		return Key{}, ErrService
+		return Key{}, ErrWrongService
 	case !now.Before(k.Expires):
 		return Key{}, ErrExpired
 	}
--- a/keyring/keyring_test.go
+++ b/keyring/keyring_test.go
@@ -7,7 +7,7 @@
 	"pomeloway.example/pomeloway/bundle"
 )
 
-func TestParseRefusesWithoutQuoting(t *testing.T) {
+func TestParseErrorsOmitSecret(t *testing.T) {
 	s := NewSecret(1)
 	_, raw, _ := strings.Cut(s.Reveal(), ":")
 	for name, texts := range map[string][]string{
@@ -31,7 +31,7 @@
 
 // During a key rotation, a process may have no secret for the new key, or a mistyped one.
 // It must report an error and must not use the wrong secret.
-func TestSelectWantsTheSecretThatTheBundleNames(t *testing.T) {
+func TestSelectRequiresMatchingSecrets(t *testing.T) {
 	a, b, other := NewSecret(1), NewSecret(2), NewSecret(2)
 	keys := []bundle.Key{{ID: 1, Fingerprint: a.Fingerprint()}, {ID: 2, Fingerprint: b.Fingerprint()}}
 	for name, x := range map[string]struct {
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestUsesHaveKeysOfTheirOwn(t *testing.T) {
+func TestDerivedKeysDifferByUse(t *testing.T) {
 	s := NewSecret(1)
 	seen := map[string]Use{}
 	for _, u := range []Use{UseToken, UseLink, UseOrder, UseReset, UseTLS} {
--- a/link/batch.go
+++ b/link/batch.go
@@ -29,8 +29,8 @@
 // Len returns the number of queued datagrams.
 func (q *Queue) Len() int { return q.n }
 
-// Send queues p, which must not change until Flush returns.
-func (q *Queue) Send(p []byte, to netip.AddrPort) {
+// Enqueue queues p, which must not change until Flush returns.
+func (q *Queue) Enqueue(p []byte, to netip.AddrPort) {
 	q.write[q.n].Buffers[0] = p
 	a := &q.addrs[q.n]
 	ip := to.Addr().As4()
@@ -102,7 +102,7 @@
 // Header returns the free bytes before the i-th datagram.
 func (b *Batch) Header(i int) []byte { return b.bufs[i][:HeaderSize] }
 
-// SendWithHeader queues the i-th datagram together with the header before it.
-func (b *Batch) SendWithHeader(i int, to netip.AddrPort) {
-	b.Send(b.bufs[i][:HeaderSize+b.read[i].N], to)
+// EnqueueWithHeader queues the i-th datagram together with the header before it.
+func (b *Batch) EnqueueWithHeader(i int, to netip.AddrPort) {
+	b.Enqueue(b.bufs[i][:HeaderSize+b.read[i].N], to)
 }
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -34,7 +34,7 @@
 // Guards against an attacker on the network between balancers and agents who forges or
 // changes datagrams to impersonate a caller. A change of any bit of the header and a header
 // under an unknown key must be refused.
-func TestUnknownSendersAreRefused(t *testing.T) {
+func TestForgedHeadersAreRefused(t *testing.T) {
 	k, otherKey := NewKey(keyring.NewSecret(1)), NewKey(keyring.NewSecret(1))
 	m := message()
 	b := make([]byte, HeaderSize)
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -43,9 +43,9 @@
 // Close passes the last values to the reporter and stops reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
-// Gauges sets a gauge for each number and boolean in the JSON encoding of v. Nested
+// SetGauges sets a gauge for each number and boolean in the JSON encoding of v. Nested
 // objects become subscopes.
-func Gauges(s tally.Scope, v any) {
+func SetGauges(s tally.Scope, v any) {
 	var m map[string]any
 	b, err := json.Marshal(v)
 	if err != nil || json.Unmarshal(b, &m) != nil {
@@ -56,15 +56,15 @@
 		case float64:
 			s.Gauge(k).Update(x)
 		case bool:
-			s.Gauge(k).Update(Number(x))
+			s.Gauge(k).Update(BoolValue(x))
 		case map[string]any:
-			Gauges(s.SubScope(k), x)
+			SetGauges(s.SubScope(k), x)
 		}
 	}
 }
 
-// Number returns 1 for true and 0 for false.
-func Number(b bool) float64 {
+// BoolValue returns 1 for true and 0 for false.
+func BoolValue(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/node/balancer.go
+++ b/node/balancer.go
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	b.balancer = &datagram.Balancer{
-		Self: s.self(), Life: s.life, Zone: datagram.ZoneKeyOf(s.settings.Zone), Format: platform.Packets{}, Out: b, Keys: s.keys,
+		Self: s.self(), Life: s.life, Zone: datagram.ZoneKeyOf(s.settings.Zone), Format: platform.PacketFormat{}, Out: b, Keys: s.keys,
 		Log: &datagram.Log{Log: s.log, MaxLines: o.Lines}, LookupRate: datagram.LookupRate(s.settings.Cores, s.settings.Bandwidth),
 	}
 	b.balancer.Observe = s.observe
@@ -105,7 +105,7 @@
 	at := b.balancer.Tick(now)
 	b.ready.Store(b.balancer.Ready())
 	if now-b.watcherCheckedAt >= datagram.StatusInterval {
-		// Not on each tick: Among sorts the balancers, which change only with status messages.
+		// Not on each tick: IsSelected sorts the balancers, which change only with status messages.
 		b.watcherCheckedAt, b.balancer.Detached = now, b.store.detached.Load()
 		b.store.usesShortWatches.Store(b.balancer.IsSelected(shortWatcherCount, now))
 	}
@@ -264,7 +264,7 @@
 func (b *Balancer) removeDeadRecord(o platform.Object) {
 	err := b.store.client().Delete(b.ctx, platform.KindProcess, o.Meta.Name, o.Meta.Revision)
 	if err != nil {
-		b.log.Add(events.RecordKept, slog.String("record", o.Meta.Name), slog.String("error", err.Error()))
+		b.log.Add(events.RecordNotRemoved, slog.String("record", o.Meta.Name), slog.String("error", err.Error()))
 		return
 	}
 	b.log.Add(events.RecordRemoved, slog.String("record", o.Meta.Name), slog.Uint64("revision", uint64(o.Meta.Revision)))
--- a/node/loop_test.go
+++ b/node/loop_test.go
@@ -26,7 +26,7 @@
 
 // Guards against a balancer that is busy with callers' datagrams and handles the answers
 // of agents too late, so that every flow that it starts to open is started again elsewhere.
-func TestFleetGoesBeforeCallers(t *testing.T) {
+func TestInternalEventsPrecedeCallerDatagrams(t *testing.T) {
 	l := newLoop()
 	for range 2 * maxInternalBurst {
 		l.internalQueue <- &buffer{src: fromProcess}
@@ -49,7 +49,7 @@
 
 // Guards against a full queue that keeps the oldest datagrams, so that each is answered
 // only after its caller has given up.
-func TestOldestDatagramOfACallerIsDropped(t *testing.T) {
+func TestFullQueueDropsOldestCallerDatagram(t *testing.T) {
 	l := newLoop()
 	for i := range callerQueueLen + 5 {
 		l.enqueueCaller(&buffer{n: i})
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -43,7 +43,7 @@
 	}
 	g.Add(func() error {
 		for clock.Sleep(ctx, metricsInterval) {
-			metrics.Gauges(b.metrics.Scope.SubScope(string(b.role)), readStatus())
+			metrics.SetGauges(b.metrics.Scope.SubScope(string(b.role)), readStatus())
 			b.metrics.Scope.Gauge("decisions_lost").Update(float64(b.log.Lost()))
 			b.metrics.Scope.Gauge("datagrams_broken").Update(float64(l.broken.Load()))
 			b.metrics.Scope.Gauge("datagrams_dropped").Update(float64(l.dropped.Load()))
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -24,7 +24,7 @@
 // testStore returns a store that is served by the handler.
 func testStore(h http.Handler) *store {
 	s := &store{log: &events.Log{}}
-	s.current.Store(&platform.Client{URL: "http://platform", HTTP: &http.Client{Transport: standin.Wire{Handler: h}}, Timeout: storeTimeout})
+	s.current.Store(&platform.Client{URL: "http://platform", HTTP: &http.Client{Transport: standin.HandlerTransport{Handler: h}}, Timeout: storeTimeout})
 	return s
 }
 
@@ -55,7 +55,7 @@
 
 // Guards against a change that is never applied because the store dropped its history
 // during a watch.
-func TestFollowFindsAChangeThatItsWatchMissed(t *testing.T) {
+func TestFollowDetectsChangeMissedByWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &stallingStore{Platform: &standin.Platform{}}
 		s := testStore(p)
@@ -81,7 +81,7 @@
 		time.Sleep(5 * time.Second)
 		createObject(t, s, platform.KindEvacuation, "zone-b")
 		changed := time.Since(start)
-		p.Forget()
+		p.DropHistory()
 		p.stalled.Store(false)
 		time.Sleep(8 * time.Second)
 		stop()
@@ -93,10 +93,10 @@
 }
 
 // Guards against frequent calls to a store that is down.
-func TestFollowIsPatientWithAStoreThatIsDown(t *testing.T) {
+func TestFollowBacksOffWhileStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &standin.Platform{}
-		p.Set(standin.Faults{Outage: true})
+		p.SetFaults(standin.Faults{Outage: true})
 		s := testStore(p)
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -115,7 +115,7 @@
 
 // Guards against an agent that has lost its state in a restart and opens flows at a
 // draining upstream, also if the store is down during the restart.
-func TestDrainingUpstreamIsRecalled(t *testing.T) {
+func TestDrainingStateIsReadAfterRestart(t *testing.T) {
 	for name, x := range map[string]struct {
 		before func(context.Context, *store)
 		outage time.Duration // how long the store is down after the restart
@@ -139,8 +139,8 @@
 				p := &standin.Platform{}
 				s := testStore(p)
 				x.before(t.Context(), s)
-				p.Set(standin.Faults{Outage: x.outage > 0})
-				time.AfterFunc(x.outage, func() { p.Set(standin.Faults{}) })
+				p.SetFaults(standin.Faults{Outage: x.outage > 0})
+				time.AfterFunc(x.outage, func() { p.SetFaults(standin.Faults{}) })
 				found, ok := s.readDraining(t.Context(), "agent-10.0.0.1")
 				if found != x.want || !ok {
 					t.Errorf("found is %t, ok is %t", found, ok)
@@ -153,7 +153,7 @@
 // Guards against an earlier VM's record that is not replaced, although a new VM has its
 // address; against repeated writes of the same record; and against a process that removes
 // a record of another process.
-func TestRecordIsPutWhateverWasThere(t *testing.T) {
+func TestPutRecordReplacesExistingRecord(t *testing.T) {
 	mine := platform.Process{Address: "10.0.0.1", Role: platform.RoleAgent, Zone: "a", Service: "letters"}
 	other := mine
 	other.Service = "scans"
@@ -173,11 +173,11 @@
 						t.Fatal(err)
 					}
 				}
-				p.Set(standin.Faults{LoseAnswers: x.lost})
+				p.SetFaults(standin.Faults{LoseAnswers: x.lost})
 				if s.putRecord(t.Context(), "agent-10.0.0.1", mine) && x.before != nil {
 					t.Error("an earlier run's record was reported as created")
 				}
-				p.Set(standin.Faults{})
+				p.SetFaults(standin.Faults{})
 				o, err := s.client().Get(t.Context(), platform.KindProcess, "agent-10.0.0.1")
 				var got platform.Process
 				if err != nil || json.Unmarshal(o.Spec, &got) != nil || got != mine {
@@ -198,7 +198,7 @@
 
 // Guards against views that are served to clients, or accepted from servers, that don't
 // have the fleet's key.
-func TestViewsStayInTheFleet(t *testing.T) {
+func TestViewRequiresFleetKey(t *testing.T) {
 	key, otherKey := []byte("of the fleet"), []byte("of another")
 	want := View{EvacuationsAt: 9}
 	for name, x := range map[string]struct {
@@ -235,7 +235,7 @@
 
 // Guards against invalid settings that are applied, or that prevent later valid ones from
 // being applied.
-func TestBadSettingsChangeNothing(t *testing.T) {
+func TestReloadIgnoresInvalidSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -266,7 +266,7 @@
 }
 
 // Guards against errors on options that don't say which flag is wrong.
-func TestOptionsNameWhatIsWrong(t *testing.T) {
+func TestValidateNamesInvalidFlags(t *testing.T) {
 	for name, x := range map[string]struct {
 		o    Options
 		want []string
@@ -287,7 +287,7 @@
 }
 
 // Guards against a first read that waits too long on a call that the store never answers.
-func TestSilentStoreIsReadSoonAfterItsReturn(t *testing.T) {
+func TestUnresponsiveStoreIsReadSoonAfterRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &standin.Platform{}
 		var silent atomic.Bool
@@ -333,7 +333,7 @@
 
 // Guards against a balancer that cannot reach the store and is still counted among those
 // that watch it.
-func TestStoreThatDoesNotAnswerIsNoted(t *testing.T) {
+func TestFailedReadMarksStoreDetached(t *testing.T) {
 	s := testStore(nil)
 	var down bool
 	for _, x := range []error{nil, platform.ErrDown, nil} {
--- a/node/offer_test.go
+++ b/node/offer_test.go
@@ -75,14 +75,14 @@
 
 // Guards against rounds that never start because each report of a newer configuration
 // restarts the wait for the next round.
-func TestWordsOfOthersDoNotHoldUpARound(t *testing.T) {
+func TestVersionReportsDoNotDelaySyncRounds(t *testing.T) {
 	requireCatchUp(t, func(s []netip.AddrPort) []netip.AddrPort { return s })
 }
 
 // Guards against a balancer that receives a configuration late after its watch missed it.
 // This happens if it asks its peers in turn, many of which don't answer, instead of the one
 // that reported the configuration.
-func TestHolderOfANewerConfigurationIsAsked(t *testing.T) {
+func TestSyncAsksHolderOfNewerConfiguration(t *testing.T) {
 	requireCatchUp(t, func([]netip.AddrPort) []netip.AddrPort {
 		return slices.Repeat([]netip.AddrPort{netip.MustParseAddrPort("127.0.0.13:1")}, 1000)
 	})
--- a/node/options.go
+++ b/node/options.go
@@ -31,13 +31,13 @@
 
 // Validate returns all invalid options as one error, each with its flag.
 func (o *Options) Validate() error {
-	var f settings.Faults
-	f.Want(o.Settings != "", "--settings", "is missing; the platform provides the path")
-	f.Want(len(o.Keys) > 0, "--keys", "is missing; `pomeloway key new` makes one")
+	var f settings.Errors
+	f.Require(o.Settings != "", "--settings", "is missing; the platform provides the path")
+	f.Require(len(o.Keys) > 0, "--keys", "is missing; `pomeloway key new` makes one")
 	_, err := keyring.Parse(o.Keys)
-	f.Err("--keys", err)
-	f.Want(o.Lines >= 0, "--lines", "must not be negative")
-	return f.All()
+	f.AddError("--keys", err)
+	f.Require(o.Lines >= 0, "--lines", "must not be negative")
+	return f.ErrOrNil()
 }
 
 // base holds what the balancer and the agent have in common.
--- a/node/relay_bench_test.go
+++ b/node/relay_bench_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	x := &datagram.Balancer{Format: platform.Packets{}, Out: &fixedOutput{relay, at(sink)}, Keys: link.NewKeys(r)}
+	x := &datagram.Balancer{Format: platform.PacketFormat{}, Out: &fixedOutput{relay, at(sink)}, Keys: link.NewKeys(r)}
 	x.Start()
 	service := datagram.ServiceKeyOf("letters")
 	address := datagram.EndpointOf(netip.MustParseAddrPort("198.18.0.1:443"))
--- a/node/site_test.go
+++ b/node/site_test.go
@@ -173,7 +173,7 @@
 }
 
 // Guards against a restart of the balancer that breaks an open flow.
-func TestFlowThroughRealPrograms(t *testing.T) {
+func TestFlowSurvivesBalancerRestart(t *testing.T) {
 	s := newSite(t)
 	newBalancer := func() func() {
 		b, err := NewBalancer(s.options(balancerIP), nil)
--- a/operator/accept.go
+++ b/operator/accept.go
@@ -24,20 +24,20 @@
 var (
 	// ErrNotAccepted means that the bundle has certainly not come into force.
 	ErrNotAccepted = errors.New("not accepted")
-	// ErrUnknown means that the platform's responses were lost, so that the bundle
+	// ErrOutcomeUnknown means that the platform's responses were lost, so that the bundle
 	// may or may not be in force.
-	ErrUnknown = errors.New("not known whether accepted")
+	ErrOutcomeUnknown = errors.New("not known whether accepted")
 )
 
-// Conflict is the error of Accept for a bundle whose parent is not the one in
+// ConflictError is the error of Accept for a bundle whose parent is not the one in
 // force. Current is the conflicting bundle, nil if none was ever accepted.
-type Conflict struct {
+type ConflictError struct {
 	Current *bundle.Accepted
 	Mine    bundle.Stamp
 }
 
 // Error names the bundle in force and its author, and the rejected bundle.
-func (c *Conflict) Error() string {
+func (c *ConflictError) Error() string {
 	if c.Current == nil {
 		return fmt.Sprintf("%v: version %d needs a parent bundle, but no bundle has been accepted yet", ErrNotAccepted, c.Mine.Version)
 	}
@@ -46,7 +46,7 @@
 }
 
 // Unwrap returns ErrNotAccepted.
-func (c *Conflict) Unwrap() error { return ErrNotAccepted }
+func (c *ConflictError) Unwrap() error { return ErrNotAccepted }
 
 func orUnnamed(s string) string {
 	if s == "" {
@@ -63,8 +63,8 @@
 	Delete(ctx context.Context, k platform.Kind, name string, at platform.Revision) error
 }
 
-// Desk signs bundles, puts them into force on the platform and reads them back.
-type Desk struct {
+// BundleClient signs bundles, puts them into force on the platform and reads them back.
+type BundleClient struct {
 	Store    Store
 	Verifier *bundle.Verifier
 }
@@ -77,12 +77,12 @@
 }
 
 // Current returns the accepted bundle, or nil if none was ever accepted.
-func (d *Desk) Current(ctx context.Context) (*bundle.Accepted, error) {
+func (d *BundleClient) Current(ctx context.Context) (*bundle.Accepted, error) {
 	h, err := d.readCurrent(ctx)
 	return h.Accepted, err
 }
 
-func (d *Desk) readCurrent(ctx context.Context) (currentObject, error) {
+func (d *BundleClient) readCurrent(ctx context.Context) (currentObject, error) {
 	o, err := d.Store.Get(ctx, platform.KindBundle, currentBundle)
 	if errors.Is(err, platform.ErrNotFound) {
 		return currentObject{}, nil
@@ -94,7 +94,7 @@
 	return currentObject{a, o.Meta.Revision}, err
 }
 
-func (d *Desk) verifyObject(o platform.Object) (*bundle.Accepted, error) {
+func (d *BundleClient) verifyObject(o platform.Object) (*bundle.Accepted, error) {
 	s, err := bundle.DecodeSigned(o.Spec)
 	if err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 }
 
 // Sign signs the text as the next version, with the accepted bundle as its parent.
-func (d *Desk) Sign(ctx context.Context, text []byte, author string, key minisign.PrivateKey) (bundle.Signed, error) {
+func (d *BundleClient) Sign(ctx context.Context, text []byte, author string, key minisign.PrivateKey) (bundle.Signed, error) {
 	h, err := d.readCurrent(ctx)
 	if err != nil {
 		return bundle.Signed{}, err
@@ -142,7 +142,7 @@
 // to accept, the write took effect; if it is another, there is a conflict; if it
 // is still the parent, the write is repeated. That is safe because the write is
 // conditional and takes effect at most once.
-func (d *Desk) Accept(ctx context.Context, s bundle.Signed) (*bundle.Accepted, error) {
+func (d *BundleClient) Accept(ctx context.Context, s bundle.Signed) (*bundle.Accepted, error) {
 	mine, err := d.Verifier.Verify(s)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotAccepted, err)
@@ -170,23 +170,23 @@
 	case err == nil:
 		d.prune(ctx, a.Version)
 		return a, nil
-	case errors.Is(err, ErrNotAccepted), errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrNotAccepted), errors.Is(err, ErrOutcomeUnknown):
 		return nil, err
 	case wrote:
-		return nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	return nil, fmt.Errorf("%w: %w", ErrNotAccepted, err)
 }
 
 // isAccepted reports whether the bundle has been accepted already. It returns a
 // ConflictError, marked as permanent, if it can no longer be accepted.
-func (d *Desk) isAccepted(ctx context.Context, h currentObject, mine *bundle.Accepted, wrote bool) (bool, error) {
+func (d *BundleClient) isAccepted(ctx context.Context, h currentObject, mine *bundle.Accepted, wrote bool) (bool, error) {
 	cur := h.Accepted
 	switch {
 	case cur == nil && mine.Version == 1 && mine.Parent == "":
 		return false, nil
 	case cur == nil:
-		return false, backoff.Permanent(&Conflict{Mine: mine.Stamp})
+		return false, backoff.Permanent(&ConflictError{Mine: mine.Stamp})
 	case cur.Version == mine.Version && cur.Digest == mine.Digest && cur.Parent == mine.Parent:
 		return true, nil
 	case cur.Version+1 == mine.Version && cur.Digest == mine.Parent:
@@ -194,12 +194,12 @@
 	case wrote && cur.Version > mine.Version:
 		return d.isInHistory(ctx, mine)
 	}
-	return false, backoff.Permanent(&Conflict{Current: cur, Mine: mine.Stamp})
+	return false, backoff.Permanent(&ConflictError{Current: cur, Mine: mine.Stamp})
 }
 
 // isInHistory reports whether the bundle was accepted and has since been replaced
 // by a later version. This happens when the response to its own write was lost.
-func (d *Desk) isInHistory(ctx context.Context, mine *bundle.Accepted) (bool, error) {
+func (d *BundleClient) isInHistory(ctx context.Context, mine *bundle.Accepted) (bool, error) {
 	o, err := d.Store.Get(ctx, platform.KindHistory, historyName(mine.Version))
 	if err != nil {
 		return false, err
@@ -209,7 +209,7 @@
 		return false, err
 	}
 	if a.Digest != mine.Digest {
-		return false, backoff.Permanent(&Conflict{Current: a, Mine: mine.Stamp})
+		return false, backoff.Permanent(&ConflictError{Current: a, Mine: mine.Stamp})
 	}
 	return true, nil
 }
@@ -218,7 +218,7 @@
 
 // keepHistory stores the accepted bundle in the history before it is replaced, so
 // that no version is lost if the operator's command is interrupted.
-func (d *Desk) keepHistory(ctx context.Context, h currentObject) error {
+func (d *BundleClient) keepHistory(ctx context.Context, h currentObject) error {
 	if h.Accepted == nil {
 		return nil
 	}
@@ -245,7 +245,7 @@
 // accepted, and the extraPrunes versions before it. Errors are ignored: the new
 // bundle is in force already, and the next acceptance tries to remove the same
 // versions again.
-func (d *Desk) prune(ctx context.Context, v bundle.Version) {
+func (d *BundleClient) prune(ctx context.Context, v bundle.Version) {
 	ctx, stop := context.WithTimeout(ctx, pruneTimeout)
 	defer stop()
 	for i := range bundle.Version(1 + extraPrunes) {
@@ -263,7 +263,7 @@
 
 // replaceCurrent replaces the accepted bundle on the condition that it is still
 // the one in h. If the condition fails, the caller reads it again and retries.
-func (d *Desk) replaceCurrent(ctx context.Context, h currentObject, s bundle.Signed) error {
+func (d *BundleClient) replaceCurrent(ctx context.Context, h currentObject, s bundle.Signed) error {
 	var err error
 	if h.Accepted == nil {
 		_, err = d.Store.Create(ctx, platform.KindBundle, currentBundle, s)
@@ -274,7 +274,7 @@
 }
 
 // History returns the bundle that was accepted as version v.
-func (d *Desk) History(ctx context.Context, v bundle.Version) (*bundle.Accepted, error) {
+func (d *BundleClient) History(ctx context.Context, v bundle.Version) (*bundle.Accepted, error) {
 	cur, err := d.Current(ctx)
 	if err != nil {
 		return nil, err
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -35,18 +35,18 @@
 type fixture struct {
 	store  *standin.Platform
 	key    minisign.PrivateKey
-	client *Desk
+	client *BundleClient
 }
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	key, v, err := bundle.NewOperator()
+	key, v, err := bundle.NewOperatorKey()
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &standin.Platform{}
-	c := &platform.Client{URL: "http://platform", HTTP: &http.Client{Transport: standin.Wire{Handler: p}}}
-	return &fixture{store: p, key: key, client: &Desk{Store: c, Verifier: v}}
+	c := &platform.Client{URL: "http://platform", HTTP: &http.Client{Transport: standin.HandlerTransport{Handler: p}}}
+	return &fixture{store: p, key: key, client: &BundleClient{Store: c, Verifier: v}}
 }
 
 func (b *fixture) accept(t *testing.T, text string) *bundle.Accepted {
@@ -65,7 +65,7 @@
 // Two operators sign bundles with the same parent. The second one to accept must
 // get an error that names the author of the accepted bundle; otherwise both
 // operators would assume that theirs is in force.
-func TestSecondOfTwoBundlesOnOneParentIsToldWhose(t *testing.T) {
+func TestConflictNamesAcceptedBundle(t *testing.T) {
 	b := newFixture(t)
 	b.accept(t, text)
 	mine, _ := b.client.Sign(t.Context(), []byte("# Mine.\n"+text), "juma", b.key)
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	_, err := b.client.Accept(t.Context(), mine)
-	var c *Conflict
+	var c *ConflictError
 	if !errors.As(err, &c) || c.Current.Author != "neema" || !errors.Is(err, ErrNotAccepted) {
 		t.Errorf("err = %v, want a conflict with the bundle of neema", err)
 	}
@@ -85,10 +85,10 @@
 
 // The platform applies a write but its response is lost. Accept must not report a
 // failure and must not create a second version.
-func TestLostAnswersAreReadBack(t *testing.T) {
+func TestAcceptResolvesLostResponses(t *testing.T) {
 	b := newFixture(t)
 	for lost := range 4 {
-		b.store.Set(standin.Faults{LoseAnswers: lost})
+		b.store.SetFaults(standin.Faults{LoseAnswers: lost})
 		if a := b.accept(t, fmt.Sprintf("# %d\n%s", lost, text)); a.Version != bundle.Version(lost+1) {
 			t.Errorf("with %d responses lost: accepted as version %d", lost, a.Version)
 		}
@@ -125,9 +125,9 @@
 		return err == nil
 	}
 	b.accept(t, "# One more.\n"+text)
-	b.store.Set(standin.Faults{Outage: true})
+	b.store.SetFaults(standin.Faults{Outage: true})
 	b.client.prune(t.Context(), at+2)
-	b.store.Set(standin.Faults{})
+	b.store.SetFaults(standin.Faults{})
 	b.accept(t, "# Two more.\n"+text)
 	for v, want := range map[bundle.Version]bool{at - 1: true, at + 2 - maxHistoryVersions: true, at + 1 - maxHistoryVersions: false, at - maxHistoryVersions: false, at - 1 - maxHistoryVersions: false} {
 		if kept(v) != want {
@@ -138,20 +138,20 @@
 
 // While the platform is down, Accept must report that the bundle was certainly not
 // accepted, because no write was sent.
-func TestOutageIsNotAccepted(t *testing.T) {
+func TestAcceptDuringOutageIsNotAccepted(t *testing.T) {
 	b := newFixture(t)
 	s, _ := b.client.Sign(t.Context(), []byte(text), "neema", b.key)
-	b.store.Set(standin.Faults{Outage: true})
+	b.store.SetFaults(standin.Faults{Outage: true})
 	ctx, stop := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer stop()
-	if _, err := b.client.Accept(ctx, s); !errors.Is(err, ErrNotAccepted) || errors.Is(err, ErrUnknown) {
+	if _, err := b.client.Accept(ctx, s); !errors.Is(err, ErrNotAccepted) || errors.Is(err, ErrOutcomeUnknown) {
 		t.Errorf("err = %v, want ErrNotAccepted only", err)
 	}
 }
 
 // Several operators take availability zones out at the same time. Each change must
 // be applied on top of the others, and comments in the bundle must be preserved.
-func TestZoneMovesOnTopOfOthersBundles(t *testing.T) {
+func TestConcurrentZoneChangesAreAllApplied(t *testing.T) {
 	b := newFixture(t)
 	b.accept(t, text)
 	var w sync.WaitGroup
@@ -210,7 +210,7 @@
 // Operators accept competing bundles concurrently while the platform loses
 // responses. The results returned to them must be linearizable as one sequence of
 // versions, in which each parent has exactly one child and no version returns.
-func TestRacingOperatorsMakeOneLine(t *testing.T) {
+func TestConcurrentAcceptsAreLinearizable(t *testing.T) {
 	conflicts := 0
 	for seed := range uint64(raceRuns(t)) {
 		synctest.Test(t, func(t *testing.T) {
@@ -254,7 +254,7 @@
 			r := rand.New(rand.NewPCG(seed, uint64(who)))
 			for i := range 3 {
 				if r.IntN(3) == 0 {
-					b.store.Set(standin.Faults{LoseAnswers: 1})
+					b.store.SetFaults(standin.Faults{LoseAnswers: 1})
 				}
 				s, err := b.client.Sign(t.Context(), fmt.Appendf(nil, "# %d-%d-%d\n%s", seed, who, i, text), "op", b.key)
 				if err != nil {
@@ -290,13 +290,13 @@
 // bundle from which it was computed fails whenever another bundle is accepted
 // first. SetZone, which checks only its own zone again, must never fail. The
 // counts are those in docs/MEASURES.md.
-func TestZoneMovesAreNotRefusedForOthersBundles(t *testing.T) {
-	type zoneSetter func(*Desk, bundle.Name, bundle.ZoneState, minisign.PrivateKey) error
-	withoutRecheck := func(d *Desk, z bundle.Name, to bundle.ZoneState, k minisign.PrivateKey) error {
+func TestZoneChangesDoNotConflictWithOtherBundles(t *testing.T) {
+	type zoneSetter func(*BundleClient, bundle.Name, bundle.ZoneState, minisign.PrivateKey) error
+	withoutRecheck := func(d *BundleClient, z bundle.Name, to bundle.ZoneState, k minisign.PrivateKey) error {
 		_, err := d.setZoneOnce(context.Background(), z, to, "op", k)
 		return err
 	}
-	withRecheck := func(d *Desk, z bundle.Name, to bundle.ZoneState, k minisign.PrivateKey) error {
+	withRecheck := func(d *BundleClient, z bundle.Name, to bundle.ZoneState, k minisign.PrivateKey) error {
 		_, err := d.SetZone(context.Background(), z, to, "op", k)
 		return err
 	}
@@ -304,7 +304,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			b := newFixture(t)
 			b.accept(t, text)
-			b.store.Set(standin.Faults{Delay: 5 * time.Millisecond})
+			b.store.SetFaults(standin.Faults{Delay: 5 * time.Millisecond})
 			var mu sync.Mutex
 			var w sync.WaitGroup
 			for who := range 4 {
--- a/operator/status.go
+++ b/operator/status.go
@@ -17,9 +17,9 @@
 	"pomeloway.example/pomeloway/process"
 )
 
-// Row is the status of one member. Reached is false if the member did not respond;
+// MemberStatus is the status of one member. Reached is false if the member did not respond;
 // Error then holds the reason.
-type Row struct {
+type MemberStatus struct {
 	Member  fleet.Member   `json:"member"`
 	Reached bool           `json:"reached"`
 	Ready   bool           `json:"ready"`
@@ -27,9 +27,9 @@
 	Error   string         `json:"error,omitempty"`
 }
 
-// Survey queries members for the version of the bundle that they have in force.
+// StatusClient queries members for the version of the bundle that they have in force.
 // HTTP may be nil.
-type Survey struct {
+type StatusClient struct {
 	HTTP *http.Client
 }
 
@@ -58,7 +58,7 @@
 
 // MembersFrom returns the members known to one process, given by the address of its
 // operator endpoints. It is used while the platform is down.
-func (s *Survey) MembersFrom(ctx context.Context, operator string) ([]fleet.Member, error) {
+func (s *StatusClient) MembersFrom(ctx context.Context, operator string) ([]fleet.Member, error) {
 	var v process.Status
 	if err := s.get(ctx, "http://"+operator+"/state", &v); err != nil {
 		return nil, err
@@ -66,9 +66,9 @@
 	return slices.DeleteFunc(v.Members, func(m fleet.Member) bool { return m.Phase == fleet.PhaseLeft }), nil
 }
 
-// Ask queries all members and returns the status of each, ordered by id.
-func (s *Survey) Ask(ctx context.Context, ms []fleet.Member) []Row {
-	rows := make([]Row, len(ms))
+// Query queries all members and returns the status of each, ordered by id.
+func (s *StatusClient) Query(ctx context.Context, ms []fleet.Member) []MemberStatus {
+	rows := make([]MemberStatus, len(ms))
 	slots := make(chan struct{}, maxConcurrentQueries)
 	var w sync.WaitGroup
 	for i, m := range ms {
@@ -79,19 +79,19 @@
 		})
 	}
 	w.Wait()
-	slices.SortFunc(rows, func(a, b Row) int { return strings.Compare(string(a.Member.ID), string(b.Member.ID)) })
+	slices.SortFunc(rows, func(a, b MemberStatus) int { return strings.Compare(string(a.Member.ID), string(b.Member.ID)) })
 	return rows
 }
 
-func (s *Survey) queryMember(ctx context.Context, m fleet.Member) Row {
+func (s *StatusClient) queryMember(ctx context.Context, m fleet.Member) MemberStatus {
 	var v process.Version
 	if err := s.get(ctx, "http://"+m.Operator+"/version", &v); err != nil {
-		return Row{Member: m, Error: err.Error()}
+		return MemberStatus{Member: m, Error: err.Error()}
 	}
-	return Row{Member: m, Reached: true, Ready: v.Ready, Version: v.Version}
+	return MemberStatus{Member: m, Reached: true, Ready: v.Ready, Version: v.Version}
 }
 
-func (s *Survey) get(ctx context.Context, url string, v any) error {
+func (s *StatusClient) get(ctx context.Context, url string, v any) error {
 	ctx, stop := context.WithTimeout(ctx, queryTimeout)
 	defer stop()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -112,8 +112,8 @@
 
 // Lagging returns the members that have a version below v in force, including
 // those that were not reached: their version is 0.
-func Lagging(rows []Row, v bundle.Version) []Row {
-	var out []Row
+func Lagging(rows []MemberStatus, v bundle.Version) []MemberStatus {
+	var out []MemberStatus
 	for _, r := range rows {
 		if r.Version < v {
 			out = append(out, r)
@@ -122,8 +122,8 @@
 	return out
 }
 
-// Newest returns the highest version that any of the members has in force.
-func Newest(rows []Row) bundle.Version {
+// NewestVersion returns the highest version that any of the members has in force.
+func NewestVersion(rows []MemberStatus) bundle.Version {
 	var v bundle.Version
 	for _, r := range rows {
 		v = max(v, r.Version)
--- a/operator/zone.go
+++ b/operator/zone.go
@@ -26,11 +26,11 @@
 // because somebody changed, say, the length of a queue. This corresponds to
 // validating a predicate instead of the whole read set (Brägger and Reimer,
 // Predicative Scheduling, ETH report 53, 1983); docs/DESIGN.md has the measurement.
-func (d *Desk) SetZone(ctx context.Context, zone bundle.Name, to bundle.ZoneState, author string, key minisign.PrivateKey) (*bundle.Accepted, error) {
+func (d *BundleClient) SetZone(ctx context.Context, zone bundle.Name, to bundle.ZoneState, author string, key minisign.PrivateKey) (*bundle.Accepted, error) {
 	var last error
 	for range maxZoneAttempts {
 		a, err := d.setZoneOnce(ctx, zone, to, author, key)
-		var c *Conflict
+		var c *ConflictError
 		if !errors.As(err, &c) {
 			return a, err
 		}
@@ -39,7 +39,7 @@
 	return nil, last
 }
 
-func (d *Desk) setZoneOnce(ctx context.Context, zone bundle.Name, to bundle.ZoneState, author string, key minisign.PrivateKey) (*bundle.Accepted, error) {
+func (d *BundleClient) setZoneOnce(ctx context.Context, zone bundle.Name, to bundle.ZoneState, author string, key minisign.PrivateKey) (*bundle.Accepted, error) {
 	cur, err := d.Current(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotAccepted, err)
--- a/peer/identity.go
+++ b/peer/identity.go
@@ -36,11 +36,11 @@
 // NewIdentity returns an identity with the keys of the ring.
 func NewIdentity(r keyring.Ring) (*Identity, error) {
 	i := &Identity{}
-	return i, i.Set(r)
+	return i, i.SetKeys(r)
 }
 
-// Set replaces the keys in force. Clients present the first key of the ring.
-func (i *Identity) Set(r keyring.Ring) error {
+// SetKeys replaces the keys in force. Clients present the first key of the ring.
+func (i *Identity) SetKeys(r keyring.Ring) error {
 	certs := map[bundle.KeyID]tls.Certificate{}
 	for _, s := range r {
 		c, err := newCertificate(s)
--- a/peer/node.go
+++ b/peer/node.go
@@ -316,7 +316,7 @@
 func (n *Node) collect(ctx context.Context) {
 	doubtedSince := map[fleet.MemberID]time.Time{}
 	for clock.Sleep(ctx, collectInterval) {
-		n.State.Collect()
+		n.State.RemoveExpired()
 		if relay, _ := n.sources(); relay {
 			n.reap(ctx, doubtedSince)
 		}
--- a/peer/pack.go
+++ b/peer/pack.go
@@ -98,7 +98,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	var recent []string
 	if c.Bundle != nil {
-		recent = s.Recent()
+		recent = s.RecentBundles()
 	}
 	out, encoding := p.pack(b, r.Header, recent)
 	if encoding != "" {
--- a/peer/pack_test.go
+++ b/peer/pack_test.go
@@ -40,7 +40,7 @@
 
 func newBundleChain(t *testing.T) *bundleChain {
 	t.Helper()
-	key, v, err := bundle.NewOperator()
+	key, v, err := bundle.NewOperatorKey()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 // sent whole bundles, it would exceed the bandwidth allowed for control traffic.
 // A follower with a recent bundle must receive little more than the changes; one
 // with an old or unknown bundle must receive the whole bundle.
-func TestFollowersGetTheDifferenceOfABundle(t *testing.T) {
+func TestBundlesAreCompressedWithKnownBundle(t *testing.T) {
 	l, k := newBundleChain(t), keyring.NewSecret(1)
 	relay := fleet.NewState(l.verify)
 	var texts []string
@@ -94,7 +94,7 @@
 			}
 			h := http.Header{}
 			d.setRequestHeaders(h)
-			out, encoding := (&packer{}).pack(body, h, relay.Recent())
+			out, encoding := (&packer{}).pack(body, h, relay.RecentBundles())
 			if encoding != x.encoding || len(out) > x.maxBytes {
 				t.Errorf("response has %d bytes for a body of %d, encoding %q", len(out), len(body), encoding)
 			}
@@ -109,7 +109,7 @@
 // A faulty relay compresses a response with a dictionary that the follower does
 // not have, or labels it with the wrong encoding. Decompressing it must fail and
 // not return garbage.
-func TestUnpackRefusesAnotherDictionary(t *testing.T) {
+func TestUnpackRejectsInvalidResponses(t *testing.T) {
 	k := keyring.NewSecret(1)
 	mine, err := newDictionary(bundleText(50, 1, 7, k))
 	if err != nil {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -50,7 +50,7 @@
 // An attacker without a fleet key announces a member in order to attract callers'
 // flows. Its TLS handshake must fail, while a process that holds any of the keys
 // in force must be able to announce a member.
-func TestPeersWithoutAFleetKeyChangeNothing(t *testing.T) {
+func TestAnnounceRequiresAFleetKey(t *testing.T) {
 	old, next, foreign := keyring.NewSecret(1), keyring.NewSecret(2), keyring.NewSecret(1)
 	v, s := startServer(t, keyring.Ring{next, old})
 	for name, x := range map[string]struct {
@@ -75,7 +75,7 @@
 
 // An attacker without a fleet key skips the verification of the server. The
 // server's own check of the client certificate must reject it.
-func TestServerRefusesAStrangerByItself(t *testing.T) {
+func TestServerRejectsClientWithoutFleetKey(t *testing.T) {
 	v, s := startServer(t, keyring.Ring{keyring.NewSecret(1)})
 	i, err := NewIdentity(keyring.Ring{keyring.NewSecret(1)})
 	if err != nil {
@@ -98,7 +98,7 @@
 
 // Operators rotate the fleet key and retire the old one. A process that kept
 // presenting the key from its start would be rejected by all peers.
-func TestClientPresentsTheKeyOfTheMoment(t *testing.T) {
+func TestClientPresentsTheCurrentKey(t *testing.T) {
 	old, next := keyring.NewSecret(1), keyring.NewSecret(2)
 	i, err := NewIdentity(keyring.Ring{old, next})
 	if err != nil {
@@ -106,7 +106,7 @@
 	}
 	c := NewClient(i)
 	defer c.Close()
-	if err := i.Set(keyring.Ring{next}); err != nil {
+	if err := i.SetKeys(keyring.Ring{next}); err != nil {
 		t.Fatal(err)
 	}
 	v, _ := startServer(t, keyring.Ring{next})
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestFollowWaitsForAChangeAndGetsIt(t *testing.T) {
+func TestFollowWaitsForAndReturnsChange(t *testing.T) {
 	r := keyring.Ring{keyring.NewSecret(1)}
 	v, s := startServer(t, r)
 	i, _ := NewIdentity(r)
@@ -144,7 +144,7 @@
 
 // testNode returns a node that calls the platform directly, without a network.
 func testNode(p *standin.Platform, self fleet.Member) *Node {
-	c := &platform.Client{URL: "http://platform", HTTP: &http.Client{Transport: standin.Wire{Handler: p}}}
+	c := &platform.Client{URL: "http://platform", HTTP: &http.Client{Transport: standin.HandlerTransport{Handler: p}}}
 	return NewNode(fleet.NewState(nil), nil, c, nil, self)
 }
 
@@ -161,7 +161,7 @@
 // An agent's VM is paused for minutes just before a write. Meanwhile a new
 // incarnation starts at its address. After the pause the conditional write must
 // fail, or an outdated record would replace a live one.
-func TestPausedHolderChangesNothingOfTheNextLife(t *testing.T) {
+func TestPausedProcessDoesNotOverwriteNewIncarnation(t *testing.T) {
 	p := &standin.Platform{}
 	old := testNode(p, member(fleet.RoleAgent, 1, 1, 1))
 	if err := old.write(t.Context()); err != nil {
@@ -185,7 +185,7 @@
 
 // A paused process is considered failed and its record is removed, but no new
 // incarnation starts. When the process continues, its record must be restored.
-func TestWrongVerdictIsUndone(t *testing.T) {
+func TestRecordIsRestoredAfterWrongRemoval(t *testing.T) {
 	p := &standin.Platform{}
 	n := testNode(p, member(fleet.RoleAgent, 1, 1, 1))
 	if err := n.write(t.Context()); err != nil {
@@ -209,10 +209,10 @@
 
 // The response to a write is lost after the write took effect. Retrying with the
 // old condition, without reading the object back, would always fail.
-func TestLostAnswerOfAWriteIsReadBack(t *testing.T) {
+func TestWriteIsReadBackAfterLostResponse(t *testing.T) {
 	p := &standin.Platform{}
 	n := testNode(p, member(fleet.RoleAgent, 1, 1, 1))
-	p.Set(standin.Faults{LoseAnswers: 1})
+	p.SetFaults(standin.Faults{LoseAnswers: 1})
 	if err := n.write(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -227,10 +227,10 @@
 
 // The platform is down for an hour and the processes keep retrying. Without backoff
 // and jitter their calls would overload the platform as soon as it recovers.
-func TestAnHourOfOutageCostsFewCalls(t *testing.T) {
+func TestFewCallsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &standin.Platform{}
-		p.Set(standin.Faults{Outage: true})
+		p.SetFaults(standin.Faults{Outage: true})
 		n := testNode(p, member(fleet.RoleBalancer, 1, 1, 1))
 		n.Client = nil
 		ctx, stop := context.WithCancel(t.Context())
@@ -249,7 +249,7 @@
 		if rate := float64(c.Reads+c.Writes) / 3600; rate > 0.5 {
 			t.Errorf("%.2f calls per second during the outage", rate)
 		}
-		p.Set(standin.Faults{})
+		p.SetFaults(standin.Faults{})
 		time.Sleep(time.Minute)
 		if _, err := stored(t, n); err != nil {
 			t.Errorf("record not stored a minute after the outage: %v", err)
@@ -263,7 +263,7 @@
 	})
 }
 
-func TestRelaysGrowWithTheZone(t *testing.T) {
+func TestRelayCountGrowsWithZoneSize(t *testing.T) {
 	for name, x := range map[string]struct{ agents, want int }{"small": {10, 2}, "large": {300, 7}} {
 		t.Run(name, func(t *testing.T) {
 			var ms []fleet.Member
@@ -300,9 +300,9 @@
 	}
 }
 
-func TestClientTellsOutcomesApart(t *testing.T) {
+func TestClientDistinguishesErrors(t *testing.T) {
 	p := &standin.Platform{}
-	c := &platform.Client{URL: "http://platform", HTTP: &http.Client{Transport: standin.Wire{Handler: p}}}
+	c := &platform.Client{URL: "http://platform", HTTP: &http.Client{Transport: standin.HandlerTransport{Handler: p}}}
 	o, err := c.Create(t.Context(), "k", "n", 1)
 	if err != nil {
 		t.Fatal(err)
@@ -316,15 +316,15 @@
 		"outdated revision":     {standin.Faults{}, func() error { _, err := c.Update(t.Context(), "k", "n", 2, o.Meta.Revision+9); return err }, platform.ErrConflict},
 		"object does not exist": {standin.Faults{}, func() error { _, err := c.Get(t.Context(), "k", "x"); return err }, platform.ErrNotFound},
 		"outage":                {standin.Faults{Outage: true}, func() error { _, err := c.Get(t.Context(), "k", "n"); return err }, platform.ErrDown},
-		"response lost":         {standin.Faults{LoseAnswers: 1}, func() error { _, err := c.Create(t.Context(), "k", "m", 2); return err }, platform.ErrUnknown},
+		"response lost":         {standin.Faults{LoseAnswers: 1}, func() error { _, err := c.Create(t.Context(), "k", "m", 2); return err }, platform.ErrOutcomeUnknown},
 		"value too large":       {standin.Faults{}, func() error { _, err := c.Create(t.Context(), "k", "b", make([]byte, platform.MaxValue)); return err }, platform.ErrInvalid},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p.Set(x.f)
+			p.SetFaults(x.f)
 			if err := x.call(); !errors.Is(err, x.want) {
 				t.Errorf("err = %v, want %v", err, x.want)
 			}
-			p.Set(standin.Faults{})
+			p.SetFaults(standin.Faults{})
 		})
 	}
 }
--- a/peer/platform.go
+++ b/peer/platform.go
@@ -168,7 +168,7 @@
 		return nil
 	}
 	o, err := n.put(ctx, m, at)
-	if errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrNotFound) || errors.Is(err, platform.ErrUnknown) {
+	if errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrNotFound) || errors.Is(err, platform.ErrOutcomeUnknown) {
 		return n.resolve(ctx, m)
 	}
 	if err != nil {
--- a/peer/server.go
+++ b/peer/server.go
@@ -50,8 +50,8 @@
 	tr    *quic.Transport
 	h3    *http3.Server
 	pack  packer
-	// Followed counts the responses sent to followers.
-	Followed atomic.Uint64
+	// FollowResponses counts the responses sent to followers.
+	FollowResponses atomic.Uint64
 }
 
 // NewServer listens for peers on the address. Paths that this package does not
@@ -113,7 +113,7 @@
 	ctx, stop := context.WithTimeout(r.Context(), min(wait, maxFollowWait))
 	defer stop()
 	c := s.waitForChange(ctx, epoch, rev, bundle.Version(have))
-	s.Followed.Add(1)
+	s.FollowResponses.Add(1)
 	s.pack.write(w, r, s.state, c)
 }
 
--- a/process/process.go
+++ b/process/process.go
@@ -44,19 +44,19 @@
 
 // Validate returns an error that lists all invalid settings, each with its flag.
 func (o *Options) Validate() error {
-	var f settings.Faults
-	f.Want(o.Zone != 0, "--zone", "must be 1 to 255")
-	f.Address("--link", o.Link)
-	f.Address("--peer", o.Peer)
-	f.Address("--operator", o.Operator)
-	f.Want(len(o.Platform) > 8 && (o.Platform[:7] == "http://" || o.Platform[:8] == "https://"), "--platform", "must be an http or https URL")
-	f.Want(len(o.Keys) > 0, "--keys", "is missing; `pomeloway key new` makes one")
-	f.Want(len(o.Trust) > 0, "--trust", "is missing; `pomeloway key operator` makes one")
+	var f settings.Errors
+	f.Require(o.Zone != 0, "--zone", "must be 1 to 255")
+	f.RequireAddress("--link", o.Link)
+	f.RequireAddress("--peer", o.Peer)
+	f.RequireAddress("--operator", o.Operator)
+	f.Require(len(o.Platform) > 8 && (o.Platform[:7] == "http://" || o.Platform[:8] == "https://"), "--platform", "must be an http or https URL")
+	f.Require(len(o.Keys) > 0, "--keys", "is missing; `pomeloway key new` makes one")
+	f.Require(len(o.Trust) > 0, "--trust", "is missing; `pomeloway key operator` makes one")
 	_, err := keyring.Parse(o.Keys)
-	f.Err("--keys", err)
+	f.AddError("--keys", err)
 	_, err = bundle.NewVerifier(o.Trust)
-	f.Err("--trust", err)
-	return f.All()
+	f.AddError("--trust", err)
+	return f.ErrOrNil()
 }
 
 // Process holds the components that every program runs.
@@ -113,22 +113,22 @@
 	return p, nil
 }
 
-// Ring returns those of the process's secrets that bundle a lists.
-func (p *Process) Ring(a *bundle.Accepted) (keyring.Ring, error) { return p.ring.Select(a.Bundle) }
+// KeysFor returns those of the process's secrets that bundle a lists.
+func (p *Process) KeysFor(a *bundle.Accepted) (keyring.Ring, error) { return p.ring.Select(a.Bundle) }
 
 // Keys returns all secrets that the process was configured with.
 func (p *Process) Keys() keyring.Ring { return p.ring }
 
-// Rekey replaces the keys that authenticate connections between peers.
-func (p *Process) Rekey(r keyring.Ring) error { return p.identity.Set(r) }
+// SetPeerKeys replaces the keys that authenticate connections between peers.
+func (p *Process) SetPeerKeys(r keyring.Ring) error { return p.identity.SetKeys(r) }
 
 // SetReady sets whether this process should receive callers' datagrams, as
 // reported by /readyz.
 func (p *Process) SetReady(v bool) { p.ready.Store(v) }
 
-// SetState sets the function that returns the program's part of /state and of the
+// SetProgramState sets the function that returns the program's part of /state and of the
 // metrics.
-func (p *Process) SetState(f func() any) {
+func (p *Process) SetProgramState(f func() any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.programState = f
@@ -165,14 +165,14 @@
 func (p *Process) setGauges() {
 	v := p.Version()
 	p.Scope.Gauge("bundle_version").Update(float64(v.Version))
-	p.Scope.Gauge("ready").Update(metrics.Number(v.Ready))
-	p.Scope.Gauge("platform_down").Update(metrics.Number(v.PlatformDown))
+	p.Scope.Gauge("ready").Update(metrics.BoolValue(v.Ready))
+	p.Scope.Gauge("platform_down").Update(metrics.BoolValue(v.PlatformDown))
 	p.Scope.Gauge("decisions_lost").Update(float64(p.Log.Lost()))
 	p.mu.Lock()
 	f := p.programState
 	p.mu.Unlock()
 	if f != nil {
-		metrics.Gauges(p.Scope.SubScope(string(p.Node.Self().Role)), f())
+		metrics.SetGauges(p.Scope.SubScope(string(p.Node.Self().Role)), f())
 	}
 }
 
@@ -251,6 +251,6 @@
 	return s
 }
 
-// Followed returns the number of responses sent to the peers that follow this
+// FollowResponses returns the number of responses sent to the peers that follow this
 // process.
-func (p *Process) Followed() uint64 { return p.server.Followed.Load() }
+func (p *Process) FollowResponses() uint64 { return p.server.FollowResponses.Load() }
--- a/process/process_test.go
+++ b/process/process_test.go
@@ -35,9 +35,9 @@
 	return w
 }
 
-func TestOperatorPage(t *testing.T) {
+func TestOperatorEndpoints(t *testing.T) {
 	p, _ := newProcess(t, io.Discard)
-	p.SetState(func() any {
+	p.SetProgramState(func() any {
 		return struct {
 			Forwarded int            `json:"forwarded"`
 			Leaving   bool           `json:"leaving"`
@@ -67,7 +67,7 @@
 
 // An operator pastes a process's state, metrics or log into a ticket. If they
 // contained a fleet key, any reader could forge the fleet's datagrams.
-func TestSecretsAreNeverShown(t *testing.T) {
+func TestOutputContainsNoSecrets(t *testing.T) {
 	var log strings.Builder
 	p, k := newProcess(t, &log)
 	p.Log.Add(6001, slog.Any("key", k), slog.Any("ring", p.Keys()))
--- a/quiclb/packet.go
+++ b/quiclb/packet.go
@@ -33,10 +33,10 @@
 		return ClassInvalid, nil
 	}
 	if p[0]&longForm == 0 {
-		if len(p) < shortIDOffset+Size {
+		if len(p) < shortIDOffset+TokenSize {
 			return ClassInvalid, nil
 		}
-		return ClassEstablished, p[shortIDOffset : shortIDOffset+Size]
+		return ClassEstablished, p[shortIDOffset : shortIDOffset+TokenSize]
 	}
 	n := int(p[longIDLenOffset])
 	if n > maxIDLen || len(p) < longIDOffset+n {
--- a/quiclb/quiclb_test.go
+++ b/quiclb/quiclb_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestTokenCarriesItsRoute(t *testing.T) {
+func TestSealOpenRoundTrip(t *testing.T) {
 	k := NewKey(keyring.NewSecret(3))
 	var o Opener
 	for i := range 10_000 {
@@ -33,7 +33,7 @@
 // still carry tokens of the old one. Both must be valid until the old key is removed from
 // the bundle. After that, tokens of the old key must be refused, so that a leaked key
 // becomes useless.
-func TestTwoKeysAreValidAtOnce(t *testing.T) {
+func TestOpenDuringKeyRotation(t *testing.T) {
 	old, next := NewKey(keyring.NewSecret(1)), NewKey(keyring.NewSecret(2))
 	a, b := old.Seal(route(1), 1), next.Seal(route(2), 2)
 	var o Opener
@@ -54,7 +54,7 @@
 
 // An attacker sends datagrams with random, modified and foreign connection IDs to the
 // address of one service, so that one of them is decoded as a route to another service.
-func TestAMillionForgedTokensAreNotValid(t *testing.T) {
+func TestOpenRejectsForgedTokens(t *testing.T) {
 	k := NewKey(keyring.NewSecret(1))
 	foreign := NewKey(keyring.NewSecret(1))
 	r := rand.New(rand.NewPCG(1, 2))
@@ -64,11 +64,11 @@
 		s := k.Seal(route(i), uint32(i))
 		switch i % 3 {
 		case 0: // random bytes chosen by the caller, with the right key id
-			for j := 1; j < Size; j++ {
+			for j := 1; j < TokenSize; j++ {
 				s[j] = byte(r.Uint32())
 			}
 		case 1:
-			s[1+r.IntN(Size-1)] ^= 1 << r.IntN(8)
+			s[1+r.IntN(TokenSize-1)] ^= 1 << r.IntN(8)
 		case 2:
 			s = foreign.Seal(route(i), uint32(i))
 		}
@@ -94,11 +94,11 @@
 	k := NewKey(keyring.NewSecret(1))
 	s := k.Seal(route(1), 1)
 	f.Add(append([]byte{0x40}, s[:]...))
-	f.Add(append([]byte{0xc0, 0, 0, 0, 1, Size}, s[:]...))
+	f.Add(append([]byte{0xc0, 0, 0, 0, 1, TokenSize}, s[:]...))
 	f.Add([]byte{0xc0, 0, 0, 0, 1, 255, 1})
 	f.Fuzz(func(t *testing.T, p []byte) {
 		c, id := Classify(p)
-		if c == ClassInvalid && id != nil || c != ClassInvalid && len(id) > Size {
+		if c == ClassInvalid && id != nil || c != ClassInvalid && len(id) > TokenSize {
 			t.Errorf("class %d with an ID of %d bytes", c, len(id))
 		}
 		var o Opener
--- a/quiclb/token.go
+++ b/quiclb/token.go
@@ -24,13 +24,13 @@
 	"pomeloway.example/pomeloway/keyring"
 )
 
-// Size is the length of a token in bytes. It is the longest connection ID that QUIC allows.
-const Size = 20
+// TokenSize is the length of a token in bytes. It is the longest connection ID that QUIC allows.
+const TokenSize = 20
 
 const (
 	blockOffset    = 1
 	checksumOffset = blockOffset + aes.BlockSize
-	checksumLen    = Size - checksumOffset
+	checksumLen    = TokenSize - checksumOffset
 )
 
 // Incarnation distinguishes successive processes at the same address.
@@ -77,7 +77,7 @@
 }
 
 // Seal returns the token of the route. Tokens of one route differ by the nonce.
-func (k *Key) Seal(r Route, nonce uint32) [Size]byte {
+func (k *Key) Seal(r Route, nonce uint32) [TokenSize]byte {
 	var p [aes.BlockSize]byte
 	a := r.Agent.Addr().As4()
 	copy(p[0:4], a[:])
@@ -86,7 +86,7 @@
 	binary.BigEndian.PutUint32(p[8:], uint32(r.Incarnation.Short()))
 	p[8] = byte(r.Zone)
 	binary.BigEndian.PutUint32(p[12:], nonce)
-	var t [Size]byte
+	var t [TokenSize]byte
 	t[0] = byte(k.id)
 	k.block.Encrypt(t[blockOffset:checksumOffset], p[:])
 	c := k.checksum(t[:])
@@ -115,7 +115,7 @@
 // a caller chose is not valid, and neither is a token of a retired key. Both look like
 // random bytes.
 func (o *Opener) Open(ks Keys, t []byte) (Route, bool) {
-	if len(t) != Size {
+	if len(t) != TokenSize {
 		return Route{}, false
 	}
 	for _, k := range ks {
@@ -160,4 +160,4 @@
 }
 
 // ConnectionIDLen returns the length of all tokens.
-func (g *Generator) ConnectionIDLen() int { return Size }
+func (g *Generator) ConnectionIDLen() int { return TokenSize }
--- a/settings/faults.go
+++ b/settings/faults.go
@@ -7,43 +7,43 @@
 	"strings"
 )
 
-// Faults collects the errors in settings, so that all are reported at once. As an
+// Errors collects the errors in settings, so that all are reported at once. As an
 // error it lists each of them with its flag and environment variable.
-type Faults []string
+type Errors []string
 
 // Error returns one line for each error.
-func (f Faults) Error() string { return "settings:\n  " + strings.Join(f, "\n  ") }
+func (f Errors) Error() string { return "settings:\n  " + strings.Join(f, "\n  ") }
 
-// Want records the text as an error of the flag unless ok is set.
-func (f *Faults) Want(ok bool, flag, text string) {
+// Require records the text as an error of the flag unless ok is set.
+func (f *Errors) Require(ok bool, flag, text string) {
 	if !ok {
 		*f = append(*f, fmt.Sprintf("%s ($%s): %s", flag, Variable(flag), text))
 	}
 }
 
-// Address records an error of the flag unless a is an IPv4 address to which other
+// RequireAddress records an error of the flag unless a is an IPv4 address to which other
 // processes can connect; 0.0.0.0 is not.
-func (f *Faults) Address(flag string, a netip.AddrPort) {
-	f.Want(a.IsValid() && a.Addr().Is4() && !a.Addr().IsUnspecified(), flag, "must be IP:PORT with an IPv4 address that other processes can reach")
+func (f *Errors) RequireAddress(flag string, a netip.AddrPort) {
+	f.Require(a.IsValid() && a.Addr().Is4() && !a.Addr().IsUnspecified(), flag, "must be IP:PORT with an IPv4 address that other processes can reach")
 }
 
-// Err records err as an error of the flag unless it is nil.
-func (f *Faults) Err(flag string, err error) {
+// AddError records err as an error of the flag unless it is nil.
+func (f *Errors) AddError(flag string, err error) {
 	if err != nil {
-		f.Want(false, flag, err.Error())
+		f.Require(false, flag, err.Error())
 	}
 }
 
 // Join adds the errors that another part of the settings collected with this
 // package. It ignores other errors.
-func (f *Faults) Join(err error) {
-	if o, ok := err.(Faults); ok {
+func (f *Errors) Join(err error) {
+	if o, ok := err.(Errors); ok {
 		*f = append(*f, o...)
 	}
 }
 
-// All returns f as an error, or nil if there are none.
-func (f Faults) All() error {
+// ErrOrNil returns f as an error, or nil if there are none.
+func (f Errors) ErrOrNil() error {
 	if len(f) == 0 {
 		return nil
 	}
--- a/standin/fabric.go
+++ b/standin/fabric.go
@@ -10,7 +10,7 @@
 )
 
 // Fabric is the stand-in for the network fabric. It forwards each datagram of a
-// caller to a random balancer, including failed ones until Set removes them. On
+// caller to a random balancer, including failed ones until SetBalancers removes them. On
 // a real site balancers answer callers from the service's address. On loopback
 // the fabric itself listens on that address, so it opens a socket towards the
 // balancers for each caller and forwards the answers to the caller.
@@ -22,7 +22,7 @@
 	wait      sync.WaitGroup
 
 	// Sprayed counts datagrams sent to balancers, Returned those sent to callers.
-	Sprayed, Returned atomic.Uint64
+	Forwarded, Returned atomic.Uint64
 }
 
 // listener is the fabric's socket on the address of one service.
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// Set replaces the balancers' addresses of the service.
-func (f *Fabric) Set(service netip.AddrPort, to []netip.AddrPort) {
+// SetBalancers replaces the balancers' addresses of the service.
+func (f *Fabric) SetBalancers(service netip.AddrPort, to []netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.balancers[service] = to
@@ -148,7 +148,7 @@
 			continue
 		}
 		c.lastSent.Store(time.Now().UnixNano())
-		d.f.Sprayed.Add(1)
+		d.f.Forwarded.Add(1)
 		c.conn.WriteToUDPAddrPort(b[:n], to)
 	}
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -72,8 +72,8 @@
 	event platform.Event
 }
 
-// Set replaces the simulated faults.
-func (p *Platform) Set(f Faults) {
+// SetFaults replaces the simulated faults.
+func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
@@ -86,9 +86,9 @@
 	return p.counts
 }
 
-// Forget drops the history, so that watches from earlier revisions are answered
+// DropHistory drops the history, so that watches from earlier revisions are answered
 // with status 410 and clients must list again.
-func (p *Platform) Forget() {
+func (p *Platform) DropHistory() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.droppedUpTo, p.history = p.revision, nil
@@ -134,7 +134,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	p.Set(f)
+	p.SetFaults(f)
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/standin/upstream.go
+++ b/standin/upstream.go
@@ -41,8 +41,8 @@
 	return l.runs[order]
 }
 
-// Twice returns how many orders were run more than once.
-func (l *Ledger) Twice() int {
+// CountRepeated returns how many orders were run more than once.
+func (l *Ledger) CountRepeated() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -116,9 +116,9 @@
 	u.draining = v
 }
 
-// Cross sets whether the upstream swaps the answers of two screen requests that
+// SwapAnswers sets whether the upstream swaps the answers of two screen requests that
 // arrive shortly after one another.
-func (u *Upstream) Cross(v bool) { u.swapAnswers.Store(v) }
+func (u *Upstream) SwapAnswers(v bool) { u.swapAnswers.Store(v) }
 
 // Cold reports whether the upstream is cold: its limit is below its slots.
 func (u *Upstream) Cold() bool {
@@ -190,16 +190,16 @@
 		beyond, u.Name, u.limit, u.coldStarts, u.answers, u.warning.describe(), strings.Join(under, "; ")))
 }
 
-// Over returns messages about requests beyond the limit.
-func (u *Upstream) Over() []string {
+// OverloadNotes returns messages about requests beyond the limit.
+func (u *Upstream) OverloadNotes() []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return slices.Clone(u.overloadNotes)
 }
 
-// Heard processes a response that the upstream's client has received. After
+// ObserveResponse processes a response that the upstream's client has received. After
 // TurnCold a client counts as warned only because of such responses.
-func (u *Upstream) Heard(h Heard) {
+func (u *Upstream) ObserveResponse(h Response) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.warning.record(h, u.limit < u.Slots)
--- a/standin/warning.go
+++ b/standin/warning.go
@@ -39,8 +39,8 @@
 	return time.Unix(0, n)
 }
 
-// Heard describes a response that the client of an upstream has received.
-type Heard struct {
+// Response describes a response that the client of an upstream has received.
+type Response struct {
 	// Sent is when the request was sent, Took the time to the first byte of the
 	// response.
 	Sent time.Time
@@ -84,7 +84,7 @@
 // record processes a response that the client received while the upstream was cold or
 // warm. It ignores requests sent before the upstream last turned cold or warm, and long
 // requests that were not shed.
-func (w *warningTracker) record(h Heard, cold bool) {
+func (w *warningTracker) record(h Response, cold bool) {
 	switch {
 	case h.Sent.Before(w.since), !h.Short && !h.Shed:
 		return
--- a/standin/wire.go
+++ b/standin/wire.go
@@ -6,16 +6,16 @@
 	"net/http/httptest"
 )
 
-// Wire is an http.RoundTripper that calls a handler directly. Without a network
+// HandlerTransport is an http.RoundTripper that calls a handler directly. Without a network
 // it also works under the fake clock of testing/synctest. If the handler aborts
 // the response, RoundTrip returns an error.
-type Wire struct{ Handler http.Handler }
+type HandlerTransport struct{ Handler http.Handler }
 
 // errAborted is what a client gets if the handler panics with http.ErrAbortHandler.
 var errAborted = errors.New("connection was closed before the response")
 
 // RoundTrip calls the handler and returns its response.
-func (w Wire) RoundTrip(r *http.Request) (a *http.Response, err error) {
+func (w HandlerTransport) RoundTrip(r *http.Request) (a *http.Response, err error) {
 	defer func() {
 		if x := recover(); x != nil {
 			if e, ok := x.(error); !ok || !errors.Is(e, http.ErrAbortHandler) {
--- a/upstream/allowance.go
+++ b/upstream/allowance.go
@@ -17,24 +17,24 @@
 )
 
 // Feedback says what the end of one request shows about the upstream.
-type Sign struct {
-	Kind SignKind
+type Feedback struct {
+	Kind FeedbackKind
 	// Began is when the request was sent to the upstream.
 	Began time.Time
 }
 
 // FeedbackKind classifies how a request ended.
-type SignKind uint8
+type FeedbackKind uint8
 
 // Kinds of feedback.
 const (
 	// FeedbackNone says nothing about the upstream, for example because the
 	// caller canceled the request.
-	SignNone SignKind = iota
+	FeedbackNone FeedbackKind = iota
 	// FeedbackGood is a complete response.
-	SignGood
+	FeedbackGood
 	// FeedbackBad is a refused connection, an error or a shed request.
-	SignBad
+	FeedbackBad
 )
 
 const (
@@ -114,11 +114,11 @@
 
 // applyFeedback updates the allowance when a request has ended. It reports whether
 // it found the upstream cold, or whether the upstream became fully warm.
-func (a *Allowance) applyFeedback(s Sign) (cold, warm bool) {
+func (a *Allowance) applyFeedback(s Feedback) (cold, warm bool) {
 	switch {
-	case a.precedesColdStart(s.Began), s.Kind == SignNone:
+	case a.precedesColdStart(s.Began), s.Kind == FeedbackNone:
 		return false, false
-	case s.Kind == SignBad:
+	case s.Kind == FeedbackBad:
 		return a.resetToCold(), false
 	}
 	if a.Warm() {
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -99,7 +99,9 @@
 }
 
 // NewClient returns a client for the upstream at the address.
-func NewClient(a netip.AddrPort, p Protocol) *Client { return NewClientOver(a, NewTransport(p)) }
+func NewClient(a netip.AddrPort, p Protocol) *Client {
+	return NewClientWithTransport(a, NewTransport(p))
+}
 
 // NewTransport returns an HTTP transport for upstreams with the protocol.
 func NewTransport(p Protocol) http.RoundTripper {
@@ -119,7 +121,7 @@
 // NewClientWithTransport returns a client that uses the given transport. Like the
 // transport of net/http, it must call the GotConn hook of httptrace: a request that
 // fails before GotConn counts as not run.
-func NewClientOver(a netip.AddrPort, tr http.RoundTripper) *Client {
+func NewClientWithTransport(a netip.AddrPort, tr http.RoundTripper) *Client {
 	return &Client{address: a, tr: tr, pending: map[RequestID]chan *http.Response{}}
 }
 
@@ -230,7 +232,7 @@
 
 // OnStopOf returns the OnStop of the request with the closed response body. It
 // returns nil if the body was read to its end: the upstream has then stopped.
-func EndOf(response io.ReadCloser) End {
+func OnStopOf(response io.ReadCloser) OnStop {
 	b, ok := response.(*body)
 	if !ok || b.complete {
 		return nil
--- a/upstream/gate.go
+++ b/upstream/gate.go
@@ -25,9 +25,9 @@
 
 // Errors of Gate.Acquire and Gate.TryAcquire. No slot was taken.
 var (
-	ErrQueueFull = errors.New("upstream's queue is full")
-	ErrNoSlot    = errors.New("no slot is free")
-	ErrWait      = errors.New("no slot became free in time")
+	ErrQueueFull   = errors.New("upstream's queue is full")
+	ErrNoSlot      = errors.New("no slot is free")
+	ErrWaitTimeout = errors.New("no slot became free in time")
 )
 
 // Gate admits requests to one upstream. The zero value admits none until SetLimits
@@ -50,7 +50,7 @@
 }
 
 // SetLimits sets the upstream's limits. The first call starts the upstream cold.
-func (g *Gate) Limit(l bundle.Limits) {
+func (g *Gate) SetLimits(l bundle.Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	first := g.limits.Slots == 0
@@ -72,7 +72,7 @@
 
 // ForceAcquire takes a slot even if none is free. It is used only by tests that
 // disable the gate to show which failures it prevents.
-func (g *Gate) AcquireAnyway() {
+func (g *Gate) ForceAcquire() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.running++
@@ -91,7 +91,7 @@
 	case <-w.granted:
 		return nil
 	case <-t.C:
-		err = ErrWait
+		err = ErrWaitTimeout
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
@@ -166,7 +166,7 @@
 // and reports whether it found the upstream cold. It must not be called where that
 // time does not show the upstream's speed, as for a long upload. The request keeps
 // its slot.
-func (g *Gate) Answered(began time.Time, took time.Duration) (cold bool) {
+func (g *Gate) RecordLatency(began time.Time, took time.Duration) (cold bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.allowance.recordLatency(began, took)
@@ -175,7 +175,7 @@
 // Release frees a slot and updates the allowance with the feedback of the request.
 // It reports whether it found the upstream cold, or whether the upstream became
 // fully warm.
-func (g *Gate) Release(s Sign) (cold, warm bool) {
+func (g *Gate) Release(s Feedback) (cold, warm bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.running--
--- a/upstream/linger.go
+++ b/upstream/linger.go
@@ -71,10 +71,10 @@
 
 // OnStop calls the given function in the background once the upstream has stopped
 // working on an aborted request, or is assumed to have stopped.
-type End func(func())
+type OnStop func(func())
 
 // connOnStop returns the OnStop of a request that was aborted on this connection.
-func connOnStop(c net.Conn) End {
+func connOnStop(c net.Conn) OnStop {
 	l, ok := c.(*lingerConn)
 	if !ok {
 		return func(f func()) { time.AfterFunc(streamResetDelay, f) }
@@ -90,8 +90,8 @@
 // UnfinishedError is the error of a request that was aborted while the upstream may
 // still work on it. OnStop reports when the upstream has stopped.
 type UnfinishedError struct {
-	Err error
-	End End
+	Err    error
+	OnStop OnStop
 }
 
 func (e *UnfinishedError) Error() string { return e.Err.Error() }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -34,8 +34,8 @@
 
 // releaseGood records a good response with the latency and releases the slot.
 func releaseGood(g *Gate, took time.Duration) (cold bool) {
-	cold = g.Answered(time.Time{}, took)
-	g.Release(Sign{Kind: SignGood})
+	cold = g.RecordLatency(time.Time{}, took)
+	g.Release(Feedback{Kind: FeedbackGood})
 	return cold
 }
 
@@ -44,7 +44,7 @@
 func TestBusyFlowDelaysOthersByOneTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &Gate{}
-		g.Limit(limits(1))
+		g.SetLimits(limits(1))
 		g.TryAcquire()
 		var order []FlowID
 		var mu sync.Mutex
@@ -58,7 +58,7 @@
 				order = append(order, f)
 				mu.Unlock()
 				time.Sleep(time.Second)
-				g.Release(Sign{})
+				g.Release(Feedback{})
 			})
 			synctest.Wait()
 		}
@@ -66,7 +66,7 @@
 			start(1)
 		}
 		start(2)
-		g.Release(Sign{})
+		g.Release(Feedback{})
 		w.Wait()
 		if len(order) != 21 || order[1] != 2 {
 			t.Errorf("the second flow was not served second: %v", order)
@@ -77,10 +77,10 @@
 // A caller cancels or times out at the moment at which it is granted a slot. If
 // that slot were not released, the upstream would lose it permanently, until no
 // slots are left and every request is refused.
-func TestNoSlotIsLostWhenWaitersGiveUp(t *testing.T) {
+func TestCanceledWaitersLeakNoSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &Gate{}
-		g.Limit(limits(3))
+		g.SetLimits(limits(3))
 		warmUp(g)
 		var w sync.WaitGroup
 		for i := range 300 {
@@ -89,7 +89,7 @@
 				defer stop()
 				if g.Acquire(ctx, FlowID(i%11), 30*time.Millisecond) == nil {
 					time.Sleep(10 * time.Millisecond)
-					g.Release(Sign{})
+					g.Release(Feedback{})
 				}
 			})
 		}
@@ -105,7 +105,7 @@
 		g := &Gate{}
 		l := limits(1)
 		l.Queue = 2
-		g.Limit(l)
+		g.SetLimits(l)
 		g.TryAcquire()
 		ctx, stop := context.WithCancel(t.Context())
 		for range 2 {
@@ -126,7 +126,7 @@
 // allowance, and one bad result must set it back to the start.
 func TestAllowanceGrowsWithAnswersOnly(t *testing.T) {
 	g := &Gate{}
-	g.Limit(limits(8))
+	g.SetLimits(limits(8))
 	var seen []int
 	for range 8 {
 		seen = append(seen, g.Load().Slots)
@@ -141,11 +141,11 @@
 	slow := func() bool { return releaseGood(g, time.Second) }
 	fast := func() bool { return releaseGood(g, 10*time.Millisecond) }
 	bad := func() bool {
-		cold, _ := g.Release(Sign{Kind: SignBad})
+		cold, _ := g.Release(Feedback{Kind: FeedbackBad})
 		return cold
 	}
 	canceled := func() bool {
-		cold, _ := g.Release(Sign{})
+		cold, _ := g.Release(Feedback{})
 		return cold
 	}
 	for name, x := range map[string]struct {
@@ -174,19 +174,19 @@
 // An upstream turns cold while five requests are in flight, which then end well. If
 // they counted as responses of the cold upstream, the allowance would double at
 // once and overload it.
-func TestAnswersFromBeforeAColdStartSayNothing(t *testing.T) {
+func TestFeedbackFromBeforeColdStartIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &Gate{}
-		g.Limit(limits(8))
+		g.SetLimits(limits(8))
 		warmUp(g)
 		before := time.Now()
 		for range 6 {
 			g.TryAcquire()
 		}
 		time.Sleep(time.Second)
-		g.Release(Sign{Kind: SignBad, Began: before})
+		g.Release(Feedback{Kind: FeedbackBad, Began: before})
 		for range 5 {
-			g.Release(Sign{Kind: SignGood, Began: before})
+			g.Release(Feedback{Kind: FeedbackGood, Began: before})
 		}
 		if n := g.Load().Slots; n != 1 {
 			t.Errorf("cold upstream has %d slots, want 1", n)
@@ -194,7 +194,7 @@
 		for range 2 {
 			time.Sleep(time.Second)
 			g.TryAcquire()
-			g.Release(Sign{Kind: SignGood, Began: time.Now()})
+			g.Release(Feedback{Kind: FeedbackGood, Began: time.Now()})
 		}
 		if n := g.Load().Slots; n != 2 {
 			t.Errorf("%d slots after two good responses of the cold upstream, want 2", n)
@@ -230,7 +230,7 @@
 
 // Two hundred callers that share one connection stop reading their long responses.
 // A feed on the same connection must continue to receive data.
-func TestCallersThatReadNothingStopNobody(t *testing.T) {
+func TestStalledCallersDoNotBlockOthers(t *testing.T) {
 	c := serveUpstream(t, ProtocolH2C, func(w http.ResponseWriter, r *http.Request) {
 		for r.Context().Err() == nil {
 			if _, err := w.Write(make([]byte, 32<<10)); err != nil {
@@ -260,7 +260,7 @@
 // The upstream runs an order with an idempotency key and closes the connection
 // without a response. net/http's transport resends requests that have an
 // idempotency header, so the order would run twice.
-func TestOrderIsNotSentAgainByTheTransport(t *testing.T) {
+func TestTransportDoesNotResendOrder(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T, p Protocol) {
 		var runs atomic.Int32
 		c := serveUpstream(t, p, func(w http.ResponseWriter, r *http.Request) {
@@ -290,7 +290,7 @@
 // The upstream process is down and the connection is refused. The request was not
 // sent, so the client must return ErrNotRun: the caller may be told that the
 // request was not run, and the request may be sent to another upstream.
-func TestRefusedConnectionProvesNotRun(t *testing.T) {
+func TestRefusedConnectionReturnsErrNotRun(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T, p Protocol) {
 		s := httptest.NewServer(nil)
 		a := netip.MustParseAddrPort(s.Listener.Addr().String())
@@ -351,7 +351,7 @@
 // A response carries the ID of a request from before the upstream's restart, which
 // no request is waiting for. It must be dropped, not returned for the request on
 // whose connection it arrived.
-func TestAnswerToNobodyIsDropped(t *testing.T) {
+func TestUnmatchedResponseIsDropped(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T, p Protocol) {
 		c := serveUpstream(t, p, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set(HeaderRequest, "an-earlier-life-17")
@@ -371,7 +371,7 @@
 	})
 }
 
-func TestStreamPassesEachReadOn(t *testing.T) {
+func TestStreamFlushesEachRead(t *testing.T) {
 	r, w := io.Pipe()
 	var got strings.Builder
 	flushed := make(chan string, 4)
@@ -392,7 +392,7 @@
 // While a request is forwarded, its body exceeds the allowed length. The error must
 // be distinguishable from that of a failed upstream, which would be considered
 // cold.
-func TestErrorOfTheCallersBodyIsKept(t *testing.T) {
+func TestRequestBodyErrorIsPreserved(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T, p Protocol) {
 		c := serveUpstream(t, p, func(_ http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
 		r := newRequest(t, http.MethodPost, "/upload", "")
