--- a/agent/options.go
+++ b/agent/options.go
@@ -21,10 +21,10 @@
 	Service         bundle.ServiceID  `help:"Number of the service that the upstream belongs to." required:"" env:"POMELOWAY_SERVICE" group:"Place"`
 	Upstream        netip.AddrPort    `help:"Address of the upstream's HTTP port." required:"" env:"POMELOWAY_UPSTREAM" placeholder:"IP:PORT" group:"Addresses"`
 	Protocol        upstream.Protocol `help:"Protocol of the upstream: ${enum}. With h2c (HTTP/2 without TLS), feeds share a few connections and need less memory." name:"upstream-protocol" enum:"http/1.1,h2c" default:"http/1.1" env:"POMELOWAY_UPSTREAM_PROTOCOL" group:"Addresses"`
-	Health          string            `help:"Path of the upstream that answers 503 while it drains." env:"POMELOWAY_HEALTH" placeholder:"PATH" group:"Work"`
-	Certificate     string            `help:"PEM file of the certificate chain for callers." type:"path" env:"POMELOWAY_CERTIFICATE" placeholder:"FILE" group:"Keys"`
-	CertificateKey  string            `help:"PEM file of the certificate's key." type:"path" env:"POMELOWAY_CERTIFICATE_KEY" placeholder:"FILE" group:"Keys"`
-	Drain           time.Duration     `help:"Longest wait for running requests at a graceful stop." default:"4h" env:"POMELOWAY_DRAIN" group:"Work"`
+	Health          string            `help:"Path on the upstream that returns status 503 while the upstream drains." env:"POMELOWAY_HEALTH" placeholder:"PATH" group:"Work"`
+	Certificate     string            `help:"PEM file with the certificate chain that callers receive." type:"path" env:"POMELOWAY_CERTIFICATE" placeholder:"FILE" group:"Keys"`
+	CertificateKey  string            `help:"PEM file with the private key of the certificate." type:"path" env:"POMELOWAY_CERTIFICATE_KEY" placeholder:"FILE" group:"Keys"`
+	Drain           time.Duration     `help:"Maximum time that a graceful stop waits for running requests and for idempotency keys to expire." default:"4h" env:"POMELOWAY_DRAIN" group:"Work"`
 
 	// TLS replaces the certificate files in trials.
 	TLS *tls.Config `kong:"-"`
--- a/balancer/options.go
+++ b/balancer/options.go
@@ -15,7 +15,7 @@
 	Bind netip.Addr `help:"Listen for callers on this IP instead of the IPs of the services." env:"POMELOWAY_BIND" placeholder:"IP" group:"Addresses"`
 	// Forwarders is the number of sockets, each with its own thread, that share
 	// the address of a service.
-	Forwarders int `help:"Number of sockets, each with its own thread, per service address." default:"1" env:"POMELOWAY_FORWARDERS" group:"Work"`
+	Forwarders int `help:"Number of sockets per service address, each with its own thread." default:"1" env:"POMELOWAY_FORWARDERS" group:"Work"`
 }
 
 // maxForwarders is well above the number of cores of an entry VM.
--- a/capacity/run.go
+++ b/capacity/run.go
@@ -17,10 +17,10 @@
 
 // Options are the settings of a measurement.
 type Options struct {
-	Quick bool          `help:"Measure small sizes only, as a quick check." env:"POMELOWAY_QUICK" group:"Run"`
-	Hold  time.Duration `help:"How long each size is measured." default:"10s" env:"POMELOWAY_HOLD" group:"Run"`
+	Quick bool          `help:"Measure only small sizes, as a quick check." env:"POMELOWAY_QUICK" group:"Run"`
+	Hold  time.Duration `help:"Duration of the measurement of each size." default:"10s" env:"POMELOWAY_HOLD" group:"Run"`
 	JSON  string        `help:"File for the slopes as JSON." name:"json" placeholder:"FILE" env:"POMELOWAY_JSON" group:"Output"`
-	Plots string        `help:"Folder for the plots as SVG." placeholder:"DIR" env:"POMELOWAY_PLOTS" group:"Output"`
+	Plots string        `help:"Directory for the plots as SVG." placeholder:"DIR" env:"POMELOWAY_PLOTS" group:"Output"`
 }
 
 // Validate returns all errors in the settings.
--- a/cli/options.go
+++ b/cli/options.go
@@ -27,7 +27,7 @@
 	Balancer balancer.Options `cmd:"" help:"Run the balancer on an entry VM." group:"Programs"`
 	Agent    agent.Options    `cmd:"" help:"Run the agent next to an upstream." group:"Programs"`
 
-	Datagram DatagramOptions `cmd:"" help:"Run the programs of datagram services on the VMs of the users' platform." group:"Programs"`
+	Datagram DatagramOptions `cmd:"" help:"Run the balancer or the agent of datagram services." group:"Programs"`
 
 	Bundle BundleOptions `cmd:"" help:"Create, check, sign and accept bundles." group:"Operators"`
 	Key    KeyOptions    `cmd:"" help:"Generate keys." group:"Operators"`
@@ -62,8 +62,8 @@
 // SignOptions are the flags of all commands that sign a bundle.
 type SignOptions struct {
 	PlatformOptions
-	Sign     string `help:"File with the operator's secret key, made by pomeloway key operator." required:"" type:"path" env:"POMELOWAY_SIGN" placeholder:"FILE"`
-	Password string `help:"Password of the secret key." env:"POMELOWAY_PASSWORD"`
+	Sign     string `help:"File with the operator's secret key, as written by pomeloway key operator." required:"" type:"path" env:"POMELOWAY_SIGN" placeholder:"FILE"`
+	Password string `help:"Password that encrypts the secret key." env:"POMELOWAY_PASSWORD"`
 	Author   string `help:"Name of the signer; shown in the history and to operators whose bundle conflicts with this one." env:"POMELOWAY_AUTHOR" default:"${user}"`
 }
 
@@ -107,7 +107,7 @@
 // BundleAccept are the options of the bundle accept command.
 type BundleAccept struct {
 	PlatformOptions
-	File string `arg:"" help:"Signed bundle." type:"existingfile"`
+	File string `arg:"" help:"File of the signed bundle." type:"existingfile"`
 }
 
 // BundleShow are the options of the bundle show command.
@@ -156,8 +156,8 @@
 	Platform string         `help:"URL of the platform's object API." env:"POMELOWAY_PLATFORM" placeholder:"URL"`
 	Token    string         `help:"Bearer token for the platform." env:"POMELOWAY_TOKEN"`
 	From     netip.AddrPort `help:"Read the list of members from this process instead of the platform." placeholder:"IP:PORT"`
-	Wait     bool           `help:"Wait until the newest version is in force in every process."`
-	Timeout  time.Duration  `help:"Maximum duration of the command, including --wait." default:"30s"`
+	Wait     bool           `help:"Wait until the newest version is in force in every process, for at most the duration of --timeout."`
+	Timeout  time.Duration  `help:"Maximum duration of the command." default:"30s"`
 	JSON     bool           `help:"Print JSON." name:"json"`
 }
 
@@ -174,9 +174,9 @@
 
 // StandinOptions are the commands that run stand-ins.
 type StandinOptions struct {
-	Platform StandinPlatform `cmd:"" help:"Object store with faults that can be switched on."`
-	Fabric   StandinFabric   `cmd:"" help:"Network fabric that sends each datagram to a random balancer."`
-	Upstream StandinUpstream `cmd:"" help:"Back end with slots, cold start and draining."`
+	Platform StandinPlatform `cmd:"" help:"Run a stand-in for the platform: an object store with faults that can be switched on."`
+	Fabric   StandinFabric   `cmd:"" help:"Run a stand-in for the fabric: a network that sends each datagram to a random balancer."`
+	Upstream StandinUpstream `cmd:"" help:"Run a stand-in for an upstream with slots, cold start and draining."`
 }
 
 // StandinPlatform are the options of the platform's stand-in.
@@ -201,6 +201,6 @@
 	Zone    string         `help:"Name of the availability zone." default:"zone-1"`
 	Slots   int            `help:"Maximum number of concurrent requests." default:"5"`
 	Cold    int            `help:"Maximum number of concurrent requests right after a cold start." default:"1"`
-	Answers int            `help:"Number of responses after which a cold upstream doubles its maximum." default:"5"`
+	Answers int            `help:"Number of successful responses after which a cold upstream doubles its maximum of concurrent requests." default:"5"`
 	Work    time.Duration  `help:"Time to process a request; five times as long while cold." default:"20ms"`
 }
--- a/node/options.go
+++ b/node/options.go
@@ -23,20 +23,20 @@
 // Options are the command-line options of a datagram balancer or agent: the settings that
 // are not in the platform's settings file.
 type Options struct {
-	Settings string   `help:"The platform's settings file of this VM." required:"" env:"POMELOWAY_BOOT" type:"path" placeholder:"FILE" group:"Place"`
-	Keys     []string `help:"Fleet keys as id:secret, from pomeloway key new." required:"" env:"POMELOWAY_KEYS" group:"Keys"`
-	Metrics  uint16   `help:"Port of /metrics and /state; 0 for none." default:"9464" env:"POMELOWAY_METRICS" group:"Addresses"`
-	Lines    int      `help:"Maximum number of log lines per second on flows and requests; further ones are only counted." default:"200" env:"POMELOWAY_LOG_LINES" group:"Logs"`
+	Settings string   `help:"Settings file that the platform provides for this VM." required:"" env:"POMELOWAY_BOOT" type:"path" placeholder:"FILE" group:"Place"`
+	Keys     []string `help:"Fleet keys as id:secret, as printed by pomeloway key new." required:"" env:"POMELOWAY_KEYS" group:"Keys"`
+	Metrics  uint16   `help:"Port of the HTTP endpoints for operators: /metrics, /state; 0 to serve none." default:"9464" env:"POMELOWAY_METRICS" group:"Addresses"`
+	Lines    int      `help:"Maximum number of log lines per second about flows and requests; lines above this number are only counted." default:"200" env:"POMELOWAY_LOG_LINES" group:"Logs"`
 }
 
 // Validate returns all invalid options as one error, each with its flag.
 func (o *Options) Validate() error {
 	var f settings.Faults
-	f.Want(o.Settings != "", "--settings", "is missing; the platform provides the path")
-	f.Want(len(o.Keys) > 0, "--keys", "is missing; `pomeloway key new` makes one")
+	f.Want(o.Settings != "", "--settings", "is missing; give the path of the settings file that the platform provides")
+	f.Want(len(o.Keys) > 0, "--keys", "is missing; create a key with `pomeloway key new`")
 	_, err := keyring.Parse(o.Keys)
 	f.Err("--keys", err)
-	f.Want(o.Lines >= 0, "--lines", "must not be negative")
+	f.Want(o.Lines >= 0, "--lines", "must be 0 or more")
 	return f.All()
 }
 
--- a/process/process.go
+++ b/process/process.go
@@ -31,15 +31,15 @@
 
 // Options are the command-line settings that balancers and agents share.
 type Options struct {
-	Zone     bundle.ZoneID    `help:"Number of the availability zone that this VM stands in." required:"" env:"POMELOWAY_ZONE" group:"Place"`
+	Zone     bundle.ZoneID    `help:"Number of the availability zone of this VM." required:"" env:"POMELOWAY_ZONE" group:"Place"`
 	Link     netip.AddrPort   `help:"Address for datagrams between balancers and agents." required:"" env:"POMELOWAY_LINK" placeholder:"IP:PORT" group:"Addresses"`
-	Peer     netip.AddrPort   `help:"Address for calls from the fleet's other processes." required:"" env:"POMELOWAY_PEER" placeholder:"IP:PORT" group:"Addresses"`
-	Operator netip.AddrPort   `help:"Address of the operators' page: /metrics, /readyz, /state." required:"" env:"POMELOWAY_OPERATOR" placeholder:"IP:PORT" group:"Addresses"`
+	Peer     netip.AddrPort   `help:"Address for requests from the fleet's other processes." required:"" env:"POMELOWAY_PEER" placeholder:"IP:PORT" group:"Addresses"`
+	Operator netip.AddrPort   `help:"Address of the HTTP endpoints for operators: /metrics, /readyz, /state, /version." required:"" env:"POMELOWAY_OPERATOR" placeholder:"IP:PORT" group:"Addresses"`
 	Platform string           `help:"URL of the platform's object API." required:"" env:"POMELOWAY_PLATFORM" placeholder:"URL" group:"Platform"`
 	Token    string           `help:"Bearer token for the platform." env:"POMELOWAY_TOKEN" group:"Platform"`
-	Seeds    []netip.AddrPort `help:"Peers to ask when the platform is down at the start." env:"POMELOWAY_SEEDS" placeholder:"IP:PORT" group:"Platform"`
-	Keys     []string         `help:"Fleet keys as id:secret, from pomeloway key new." required:"" env:"POMELOWAY_KEYS" group:"Keys"`
-	Trust    []string         `help:"Operators' public keys that sign bundles." required:"" env:"POMELOWAY_TRUST" group:"Keys"`
+	Seeds    []netip.AddrPort `help:"Peer addresses of processes to read the fleet's state from if the platform is down at startup." env:"POMELOWAY_SEEDS" placeholder:"IP:PORT" group:"Platform"`
+	Keys     []string         `help:"Fleet keys as id:secret, as printed by pomeloway key new." required:"" env:"POMELOWAY_KEYS" group:"Keys"`
+	Trust    []string         `help:"Public keys of the operators whose signatures on bundles are accepted." required:"" env:"POMELOWAY_TRUST" group:"Keys"`
 }
 
 // Validate returns an error that lists all invalid settings, each with its flag.
@@ -50,8 +50,8 @@
 	f.Address("--peer", o.Peer)
 	f.Address("--operator", o.Operator)
 	f.Want(len(o.Platform) > 8 && (o.Platform[:7] == "http://" || o.Platform[:8] == "https://"), "--platform", "must be an http or https URL")
-	f.Want(len(o.Keys) > 0, "--keys", "is missing; `pomeloway key new` makes one")
-	f.Want(len(o.Trust) > 0, "--trust", "is missing; `pomeloway key operator` makes one")
+	f.Want(len(o.Keys) > 0, "--keys", "is missing; create a key with `pomeloway key new`")
+	f.Want(len(o.Trust) > 0, "--trust", "is missing; create a key pair with `pomeloway key operator`")
 	_, err := keyring.Parse(o.Keys)
 	f.Err("--keys", err)
 	_, err = bundle.NewVerifier(o.Trust)
