--- a/datagram/absence.go
+++ b/datagram/absence.go
@@ -13,7 +13,7 @@
 // endpoint is not used, because a call to it takes a slot and its answer is misleading.
 
 const (
-	// heartbeatTimeout is two of the upstream's heartbeat intervals.
+	// heartbeatTimeout is two of the upstream's announcement intervals.
 	heartbeatTimeout = 1540 * time.Millisecond
 	// muteTimeout is how long an upstream must have sent nothing for a caller's
 	// retransmission to raise a suspicion. It is shorter than the time after which callers
--- a/datagram/agent.go
+++ b/datagram/agent.go
@@ -35,8 +35,9 @@
 	// BusyAt is the number of requests per slot from which the upstream counts as busy, so
 	// that openings prefer other agents; 0 means busyAt, a negative value never.
 	BusyAt float64
-	// Evacuation is the time after which nothing more may be sent to an availability zone
-	// that operators took out of service; 0 means defaultEvacuation.
+	// Evacuation is the time after which nothing more may be sent to an evacuated
+	// availability zone, that is, one that operators took out of service; 0 means
+	// defaultEvacuation.
 	Evacuation time.Duration
 	// Probe, if not nil, starts a connection attempt to the upstream's address; its result
 	// is passed to HandleProbeResult. It must not block.
@@ -89,14 +90,16 @@
 	// expectedInterval is the time within which the balancer expects the next status.
 	expectedInterval time.Duration
 	agentCount       int // how many agents the balancer knows
-	// entries is the number of flows sent to it in this epoch.
+	// entries is the number of flows registered at it in the current epoch. resendEntries
+	// starts a new epoch.
 	epoch, entries uint32
 }
 
 const (
 	// maxPending exceeds the number of packets that an upstream can hold unread.
 	maxPending = 4096
-	// flowTableTurn exceeds the idle timeout of flows.
+	// flowTableTurn is the rotation interval of the flow table. It exceeds the idle timeout
+	// of flows.
 	flowTableTurn = 30 * time.Second
 	// maxFlows bounds an agent's memory.
 	maxFlows = 100_000
@@ -110,11 +113,11 @@
 	// defaultEvacuation applies where the settings have no evacuation time.
 	defaultEvacuation = 5 * time.Second
 	// cutStart and cutEnd delimit, as shares of the evacuation time, the period in which
-	// the flows of an availability zone that is out of service are cut, each at its own
-	// time. Openings are refused at once. Until its flow is cut, a caller can finish what
-	// it has begun. The remaining flows lose one request each, and spreading the cuts
-	// avoids losing all of these at the same moment. The rest of the evacuation time covers
-	// the delay until the agent learns of the evacuation.
+	// the flows of an evacuated availability zone are cut, each at its own time. Openings
+	// are refused at once. Until its flow is cut, a caller can finish what it has begun.
+	// The remaining flows lose one request each, and spreading the cuts avoids losing all
+	// of these at the same moment. The rest of the evacuation time covers the delay until
+	// the agent learns of the evacuation.
 	cutStart = 0.6
 	cutEnd   = 0.96
 )
@@ -311,12 +314,13 @@
 func (a *Agent) broadcastStatus(now time.Duration) { a.sendDueStatuses(now, 0, 0) }
 
 // sendDueStatuses sends the status to each balancer whose last status is older than
-// nearAfter or farAfter, depending on whether the balancer is near, or that expects one
-// now. A balancer that has stopped being near would otherwise consider the agent silent
-// until the next round of far balancers.
+// nearAfter or farAfter, depending on whether the balancer is near, or than the interval
+// that was announced to it. Without the latter, a balancer that has just become far would
+// consider the agent silent until its next status is due as a far one.
 func (a *Agent) sendDueStatuses(now, nearAfter, farAfter time.Duration) {
 	a.lastStatus = now
-	nearby := highestRanked(uint64(a.Life), slices.Collect(maps.Keys(a.balancers)), nearBalancerCount(a.agentCount, len(a.balancers)))
+	nearby := highestRanked(uint64(a.Life), slices.Collect(maps.Keys(a.balancers)),
+		nearBalancerCount(a.agentCount, len(a.balancers)))
 	if d := digestOf(nearby); d != a.nearDigest {
 		a.nearDigest = d
 		a.Log.nearChanged(len(nearby), len(a.balancers), a.agentCount)
--- a/datagram/agents.go
+++ b/datagram/agents.go
@@ -29,9 +29,9 @@
 	return agents{byIP: map[IP]*agentView{}, byService: map[ServiceKey][]*agentView{}}
 }
 
-// applyStatus stores a status unless it is outdated. restarted is true if its life was
-// unknown, in which case the agent does not know this balancer yet; changed is true if its
-// content differs from the previous status.
+// applyStatus stores a status unless it is outdated. restarted is true if the agent has
+// started a new run, in which it does not know this balancer yet; changed is true if the
+// content differs from that of the previous status.
 func (x *agents) applyStatus(ip IP, s AgentStatus, now time.Duration) (restarted, changed bool) {
 	a := x.byIP[ip]
 	if a != nil && !a.isNewer(&s, now) {
--- a/datagram/agentview.go
+++ b/datagram/agentview.go
@@ -25,20 +25,22 @@
 
 // agentView is a balancer's knowledge of one agent.
 type agentView struct {
-	ip              IP
-	key             uint64
-	status          AgentStatus
-	recorded        bool
-	discovered      time.Duration // when the agent became known
-	lastSeen        time.Duration // when its last status arrived; 0: never
-	started         time.Duration
-	missedOpenings  int // openings left unanswered since the last status
-	suspicion       suspicion
-	statusSent      time.Duration // when this balancer last sent the agent its own status
-	mismatch        homesMismatch
-	homes           homeSet // the balancers among which it chooses homes, valid if the status has this digest
-	reportedLoad    int     // flows and requests at its upstream, as last reported
-	pendingOpenings int     // openings sent to it and not answered yet
+	ip             IP
+	key            uint64
+	status         AgentStatus
+	recorded       bool
+	discovered     time.Duration // when the agent became known
+	lastSeen       time.Duration // when its last status arrived; 0: never
+	started        time.Duration
+	missedOpenings int // openings left unanswered since the last status
+	suspicion      suspicion
+	statusSent     time.Duration // when this balancer last sent the agent its own status
+	mismatch       homesMismatch
+	// homes are the balancers among which it chooses homes. They are valid if the status has
+	// the same digest.
+	homes           homeSet
+	reportedLoad    int // flows and requests at its upstream, as last reported
+	pendingOpenings int // openings sent to it and not answered yet
 	// declinedAt is when the agent last refused an opening as busy, by the opening's
 	// priority.
 	declinedAt    [priorityEnd]time.Duration
@@ -78,9 +80,9 @@
 	return classReady
 }
 
-// load returns the flows and requests at the agent's upstream per slot. Requests and flows
-// weigh the same: with a higher weight of requests, feeds pile up where there are few
-// requests.
+// load returns the flows and requests at the agent's upstream per slot. Both have the same
+// weight: if requests had a higher one, flows that carry feeds would accumulate at upstreams
+// with few requests.
 func (a *agentView) load() float64 {
 	return float64(a.reportedLoad+a.pendingOpenings) / float64(max(a.status.Slots, 1))
 }
@@ -121,9 +123,9 @@
 
 // isNewer reports whether the status supersedes the stored one.
 //
-// A delayed datagram from before a restart would reset the agent to an outdated state, for
-// example to ready although it now drains. Such a datagram has a life that another one has
-// followed, or an older sequence number. Clocks are not compared, because they can jump.
+// A delayed datagram, for example from before a restart, would reset the agent to an
+// outdated state: say, to ready although it now drains. Such a datagram has the life of an
+// earlier run, or an older sequence number. Clocks are not compared, because they can jump.
 func (a *agentView) isNewer(s *AgentStatus, now time.Duration) bool {
 	if s.Life == a.status.Life {
 		return s.Sequence > a.status.Sequence
@@ -141,7 +143,8 @@
 // can exceed the capacity of its upstreams, so flows stay within the zone only while that
 // causes no waiting.
 func (a *agentView) isPreferred(o *agentView) bool {
-	return int(a.status.UnderWay)+a.pendingOpenings < int(max(a.status.Slots, 1)) && a.load() <= sameZoneLoadFactor*o.load()+1/float64(max(a.status.Slots, 1))
+	return int(a.status.UnderWay)+a.pendingOpenings < int(max(a.status.Slots, 1)) &&
+		a.load() <= sameZoneLoadFactor*o.load()+1/float64(max(a.status.Slots, 1))
 }
 
 // sameZoneLoadFactor is how much more loaded an upstream in the own availability zone may
@@ -172,7 +175,7 @@
 	return a.homes.hasDigest(a.status.Homes)
 }
 
-// unseenTimeout is the time after which a recorded agent is considered failed if it never
+// unseenTimeout is the time after which a recorded agent is considered gone if it never
 // sends a status. The agent has been sent this balancer's status by then. The VM behind a
 // record may have died long ago.
 const unseenTimeout = 2 * time.Second
@@ -182,7 +185,7 @@
 	return a.mayBeAlive(now) || a.reachable(now) && !a.holdsNoFlows()
 }
 
-// isPreviousLife reports whether l is an earlier life of the agent.
+// isPreviousLife reports whether l identifies an earlier run of the agent.
 func (a *agentView) isPreviousLife(l Life) bool {
 	return l != 0 && slices.Contains(a.previousLives[:], l)
 }
--- a/datagram/balancer.go
+++ b/datagram/balancer.go
@@ -38,14 +38,17 @@
 	// OnNewerConfiguration is called when another process has a newer configuration.
 	OnNewerConfiguration func(from IP, v Version)
 
-	config              *Configuration
-	zonesOut            map[ZoneKey]bool
-	revision            uint64
-	leaving             bool
-	membersRead         bool          // the member records were read since this process started
-	lastAgentMessage    time.Duration // when the last message of any agent arrived
-	lastIsolated        time.Duration // when it was last isolated, or resumed after a pause; 0: never
-	lastActive, resumed time.Duration // when this process last did something, and when it resumed after a pause
+	config           *Configuration
+	zonesOut         map[ZoneKey]bool
+	revision         uint64
+	leaving          bool
+	membersRead      bool          // the member records were read since this process started
+	lastAgentMessage time.Duration // when the last message of any agent arrived
+	// lastIsolated is when it was last isolated, or resumed after a pause. 0 means never.
+	lastIsolated time.Duration
+	// lastActive is when this process last did something, resumed when it last resumed
+	// after a pause.
+	lastActive, resumed time.Duration
 	lastCutOffCheck     time.Duration
 	cutOffFound         bool // result of the last check whether it is cut off
 	agents              agents
@@ -78,8 +81,8 @@
 }
 
 const (
-	// locationTableTurn exceeds the longest pause within a flow, so that a location is kept
-	// as long as its flow is in use.
+	// locationTableTurn is the rotation interval of the table of locations. It exceeds the
+	// longest pause within a flow, so that a location is kept as long as its flow is in use.
 	locationTableTurn = 30 * time.Second
 	// maxLocations bounds a balancer's memory; every flow beyond it costs a lookup.
 	maxLocations = 200_000
--- a/datagram/bench_test.go
+++ b/datagram/bench_test.go
@@ -9,7 +9,7 @@
 	"pomeloway.example/pomeloway/link"
 )
 
-// discardOutput discards what it is given and counts it.
+// discardOutput counts and discards what is sent.
 type discardOutput struct{ n int }
 
 func (q *discardOutput) ToProcess(IP, []byte) { q.n++ }
@@ -24,7 +24,9 @@
 	b.Start()
 	b.SetConfiguration(&Configuration{Version: 1, Routes: map[Endpoint]Route{{2, 443}: {Shares: []Share{{7, 1}}}}})
 	for ip := range IP(10) {
-		b.agents.applyStatus(ip+1, AgentStatus{Life: Life(ip + 1), Sequence: 1, Service: 7, State: UpstreamReady, Slots: 5}, time.Second)
+		b.agents.applyStatus(ip+1, AgentStatus{
+			Life: Life(ip + 1), Sequence: 1, Service: 7, State: UpstreamReady, Slots: 5,
+		}, time.Second)
 	}
 	m := append(plainPacket(plainData, 9), make([]byte, 1000)...)
 	p, _ := plainFormat{}.Parse(m[HeaderLen:])
@@ -133,7 +135,9 @@
 		}
 		x.homes = newHomeSet(append(ips, x.Self))
 		for ip := range IP(n) {
-			x.agents.applyStatus(ip+1, AgentStatus{Life: Life(ip + 1), Sequence: 2, Service: 7, State: UpstreamReady, KnowsAll: true, Homes: x.homes.digest}, time.Second)
+			x.agents.applyStatus(ip+1, AgentStatus{
+				Life: Life(ip + 1), Sequence: 2, Service: 7, State: UpstreamReady, KnowsAll: true, Homes: x.homes.digest,
+			}, time.Second)
 		}
 		p := appendFlow(nil, testFlow(9))
 		for name, look := range map[string]bool{"computing coverage": true, "coverage cached": false} {
--- a/datagram/decisions_test.go
+++ b/datagram/decisions_test.go
@@ -103,7 +103,10 @@
 		t.Run(name, func(t *testing.T) {
 			on := map[bool]int{}
 			for self := IP(101); self <= 107; self++ {
-				b := &Balancer{Self: self, Format: plainFormat{}, Out: newRecorder(t), Keys: testKeys(t), Detached: int(self) <= 100+x.detached}
+				b := &Balancer{
+					Self: self, Format: plainFormat{}, Out: newRecorder(t), Keys: testKeys(t),
+					Detached: int(self) <= 100+x.detached,
+				}
 				b.Start()
 				for ip := IP(101); ip <= 107; ip++ {
 					m := (&BalancerStatus{Life: Life(ip), Detached: int(ip) <= 100+x.detached}).append(make([]byte, HeaderLen))
@@ -127,7 +130,10 @@
 func TestExactlyOneBalancerRemovesEachDeadRecord(t *testing.T) {
 	start := 20 * time.Second
 	now := start + deadMemberTimeout + time.Second
-	ms := []Member{{IP: 1, Agent: true, Service: 7}, {IP: 2, Agent: true, Service: 7}, {IP: 9, Agent: true, Service: 7}, {IP: 101}, {IP: 102}, {IP: 103}}
+	ms := []Member{
+		{IP: 1, Agent: true, Service: 7}, {IP: 2, Agent: true, Service: 7}, {IP: 9, Agent: true, Service: 7},
+		{IP: 101}, {IP: 102}, {IP: 103},
+	}
 	removed := map[IP]int{}
 	for self := IP(101); self <= 103; self++ {
 		b, _ := testBalancer(t, 2, start)
--- a/datagram/directory.go
+++ b/datagram/directory.go
@@ -39,8 +39,8 @@
 type coverage struct {
 	computedAt time.Duration // when it was computed
 	complete   bool
-	// uncovered are the agents that do not know all flows of their upstreams, as they
-	// started after them, and have to be asked directly. homeSets are the sets from which
+	// uncovered are the agents that do not know all flows of their upstreams, because they
+	// started after them. They have to be asked directly. homeSets are the sets from which
 	// the other agents choose homes.
 	uncovered []IP
 	homeSets  []homeSet
@@ -115,7 +115,7 @@
 	maxEntries = 100
 )
 
-// handleEntries adds flows that an agent reports to hold.
+// handleEntries adds the flows that an agent registers at this home.
 func (b *Balancer) handleEntries(from IP, p []byte) {
 	var h entriesHeader
 	if _, err := binary.Decode(p, binary.BigEndian, &h); err != nil || (len(p)-entriesHeaderLen)%flowLen != 0 {
@@ -141,8 +141,8 @@
 	}
 }
 
-// trackerFor returns the agent's tracker, reset if the agent has started a new epoch or was
-// restarted. It returns nil if the entries are of an earlier epoch.
+// trackerFor returns the agent's tracker, which it resets if the agent has started a new
+// epoch or a new run. It returns nil if the entries are of an earlier epoch.
 func (d *directory) trackerFor(from IP, h *entriesHeader) *entryTracker {
 	l := d.trackers[from]
 	switch {
@@ -190,7 +190,8 @@
 	c := &d.coverage
 	if c.computedAt == 0 || now-c.computedAt >= coverageInterval {
 		*c = coverage{computedAt: now, uncovered: c.uncovered[:0], homeSets: c.homeSets[:0]}
-		c.complete = b.membersRead && !b.lostPeers(now) && (d.droppedAt == 0 || now-d.droppedAt > 2*directoryInterval) && b.computeCoverage(c, now)
+		c.complete = b.membersRead && !b.lostPeers(now) &&
+			(d.droppedAt == 0 || now-d.droppedAt > 2*directoryInterval) && b.computeCoverage(c, now)
 		if !c.complete {
 			c.uncovered = c.uncovered[:0] // incomplete, and so of no use to a lookup
 		}
@@ -199,8 +200,8 @@
 }
 
 // computeCoverage computes the coverage and reports whether the directory is complete. It is
-// not if this balancer reaches less than half of the agents: then it is more likely cut off
-// than all of them dead.
+// not complete if this balancer reaches fewer than half of the agents: it is then more likely
+// that the balancer is cut off than that all of them are dead.
 func (b *Balancer) computeCoverage(c *coverage, now time.Duration) bool {
 	d := &b.directory
 	unheard := 0
@@ -237,7 +238,7 @@
 	return len(c.homeSets) <= maxHomeSets
 }
 
-// forgetTrackers drops the trackers of agents that were forgotten.
+// forgetTrackers drops the trackers of agents that are no longer known.
 func (b *Balancer) forgetTrackers() {
 	for ip := range b.directory.trackers {
 		if b.agents.byIP[ip] == nil {
--- a/datagram/directory_test.go
+++ b/datagram/directory_test.go
@@ -116,7 +116,7 @@
 	return p
 }
 
-// startAgent starts the agent, and with it an upstream whose flows it all knows.
+// startAgent starts the agent together with an upstream, so that it knows all its flows.
 func (p *testPair) startAgent() {
 	p.born = p.now
 	p.a.Start()
@@ -344,7 +344,8 @@
 		for b, s := range o.sets {
 			for p := uint16(1); p <= port; p++ {
 				if s.choose(testFlow(p)).has(b) && !o.flows[b][testFlow(p)] {
-					t.Fatalf("after %d balancers, %v is a home of flow %d in its set of %d balancers, but got no entry", ip-100, b, p, len(s.ips))
+					t.Fatalf("after %d balancers, %v is a home of flow %d in its set of %d balancers, but got no entry",
+						ip-100, b, p, len(s.ips))
 				}
 			}
 		}
--- a/datagram/flows.go
+++ b/datagram/flows.go
@@ -20,7 +20,7 @@
 	opening    uint32
 	// lookupPending is set while a balancer waits for a report that the flow is here.
 	lookupPending bool
-	// registered is when the flow was last reported to its homes. 0 means never.
+	// registered is when the flow was last registered at its homes. 0 means never.
 	registered   time.Duration
 	since        time.Duration
 	requestStart time.Duration // when the current request began
@@ -52,7 +52,7 @@
 	opening  uint32
 }
 
-// handlePacket handles a KindPacket message m, which carries data of an established flow.
+// handlePacket handles a KindPacket message m, which carries a packet of an established flow.
 func (a *Agent) handlePacket(from IP, h Message, m []byte, now time.Duration) {
 	p := m[HeaderLen:]
 	k, ok := a.Format.Parse(p)
@@ -120,10 +120,10 @@
 }
 
 // forwardUnconfirmed forwards a packet of an unknown flow to an upstream that has not sent
-// anything yet, and at the same time answers the balancer that the agent can't tell. The
-// agent may have been restarted beside an upstream that was removed and would never
-// answer. If the upstream is there after all, a bounced packet proves that it does not
-// hold the flow.
+// anything yet, and at the same time answers the balancer that the agent can't tell whether
+// the flow is here. The upstream may have been removed before the agent restarted, and would
+// then never answer. If it runs after all, a bounced packet proves that it does not hold the
+// flow.
 func (a *Agent) forwardUnconfirmed(from IP, h Message, m []byte, now time.Duration) {
 	p := m[HeaderLen:]
 	k, _ := a.Format.Parse(p)
@@ -159,16 +159,16 @@
 }
 
 // firstAnnouncementTimeout is the time after the start of an agent within which a live
-// upstream announces itself; it covers several heartbeats. If nothing accepts a connection
-// at the upstream's address either, there is no upstream.
+// upstream announces itself; it covers several announcement intervals. If nothing accepts a
+// connection at the upstream's address either, there is no upstream.
 const firstAnnouncementTimeout = 2 * time.Second
 
 // trackCallerPacket updates the flow from a packet of the caller, and detects the start of
 // a request.
 //
 // Only data beyond what was already sent begins a request. A retransmission that arrives
-// after the answer does not: counted as a request it would never end, and an upstream of
-// uploads would be considered busy after some minutes.
+// after the answer does not: counted as a request it would never end, and an upstream that
+// receives uploads would be considered busy after some minutes.
 func (a *Agent) trackCallerPacket(k Packet, f *flowState, p []byte, now time.Duration) {
 	if k.Fin || k.Reset {
 		f.finished = true
@@ -189,7 +189,10 @@
 	f.hasRequest, f.requestStart = true, now
 	a.underWay++
 	if a.Log != nil {
-		a.Log.logDecision(decision{event: events.RequestSeen, flow: k.Flow, request: a.Format.RequestID(p), hop: uint8(min(a.underWay, 255)), version: a.version}, now)
+		a.Log.logDecision(decision{
+			event: events.RequestSeen, flow: k.Flow, request: a.Format.RequestID(p),
+			hop: uint8(min(a.underWay, 255)), version: a.version,
+		}, now)
 	}
 }
 
@@ -249,7 +252,10 @@
 // resetFlow resets the flow for its caller.
 func (a *Agent) resetFlow(k Flow, f *flowState, number uint32, now time.Duration) {
 	a.Count.Resets++
-	a.Log.logDecision(decision{event: events.FlowCut, flow: k, reason: ReasonUpstreamGone, version: a.version, age: now - f.since}, now)
+	a.Log.logDecision(decision{
+		event: events.FlowCut, flow: k, reason: ReasonUpstreamGone,
+		version: a.version, age: now - f.since,
+	}, now)
 	n := a.Format.PutReset(a.scratch[:], k, number)
 	a.Out.ToCaller(k.Caller.IP, a.scratch[:n])
 }
@@ -309,10 +315,15 @@
 			a.register(k.Flow, f, now)
 			a.Count.Established++
 			a.Observe.record(ObserveHandshake, now-f.since)
-			a.Log.logDecision(decision{event: events.FlowEstablished, flow: k.Flow, agent: f.balancer, version: a.version, age: now - f.since}, now)
+			a.Log.logDecision(decision{
+				event: events.FlowEstablished, flow: k.Flow, agent: f.balancer,
+				version: a.version, age: now - f.since,
+			}, now)
 		}
 		if f.opening != 0 {
-			a.sendFlowMessage(f.balancer, Message{Kind: KindOpened, Opening: f.opening, Service: a.Service, Load: a.load(now)}, k.Flow)
+			a.sendFlowMessage(f.balancer, Message{
+				Kind: KindOpened, Opening: f.opening, Service: a.Service, Load: a.load(now),
+			}, k.Flow)
 		}
 		return
 	case f.phase == flowUnconfirmed:
@@ -350,7 +361,7 @@
 	}
 }
 
-// handleBounced handles a packet that the upstream returned: it resets a flow that was open
+// handleBounced handles a packet that the upstream bounced: it resets a flow that was open
 // there, and otherwise informs the balancer that sent the packet.
 func (a *Agent) handleBounced(k Packet, m []byte, now time.Duration) {
 	a.Count.Bounced++
--- a/datagram/flows_test.go
+++ b/datagram/flows_test.go
@@ -11,14 +11,16 @@
 func TestLookupAtEvacuatedZone(t *testing.T) {
 	const now = 20 * time.Second
 	for name, x := range map[string]struct {
-		first   int64 // sequence of the first announcement received; 1 means the agent knows all flows
+		// first is the sequence of the first announcement received. 1 means that the agent
+		// knows all flows.
+		first   int64
 		here    bool
 		dropped bool
 		flags   Flags
 	}{
-		"agent knows that it is elsewhere": {1, false, false, 0},
-		"unknown to a restarted agent":     {9, false, false, FlagUnsure | FlagKnownOnly},
-		"held by this agent":               {1, true, true, 0},
+		"not held by this agent":       {1, false, false, 0},
+		"unknown to a restarted agent": {9, false, false, FlagUnsure | FlagKnownOnly},
+		"held by this agent":           {1, true, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newRecorder(t)
@@ -96,9 +98,15 @@
 		"ready, silent for long, never verified": {AgentStatus{State: UpstreamReady}, 2 * failureDetectionTime, 0, true},
 		"draining":                               {AgentStatus{State: UpstreamDraining}, 2 * time.Second, maxUnanswered - 1, true},
 		"deregistered":                           {AgentStatus{State: UpstreamGone}, 2 * time.Second, 0, false},
-		"never announced":                        {AgentStatus{State: UpstreamUnknown, KnowsAll: true, Uptime: MillisOf(firstAnnouncementTimeout + time.Second)}, 2 * time.Second, 0, false},
-		"never announced, listens":               {AgentStatus{State: UpstreamUnknown, Uptime: MillisOf(firstAnnouncementTimeout + time.Second)}, 2 * time.Second, 0, true},
-		"not announced, agent just restarted":    {AgentStatus{State: UpstreamUnknown, Uptime: MillisOf(time.Second)}, 2 * time.Second, maxUnanswered - 1, true},
+		"never announced": {AgentStatus{
+			State: UpstreamUnknown, KnowsAll: true, Uptime: MillisOf(firstAnnouncementTimeout + time.Second),
+		}, 2 * time.Second, 0, false},
+		"never announced, listens": {AgentStatus{
+			State: UpstreamUnknown, Uptime: MillisOf(firstAnnouncementTimeout + time.Second),
+		}, 2 * time.Second, 0, true},
+		"not announced, agent just restarted": {AgentStatus{
+			State: UpstreamUnknown, Uptime: MillisOf(time.Second),
+		}, 2 * time.Second, maxUnanswered - 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := agentView{status: x.status, lastSeen: now - x.silent, suspicion: suspicion{now - x.silent, x.asks, now - verifyInterval}}
--- a/datagram/gate.go
+++ b/datagram/gate.go
@@ -56,8 +56,8 @@
 // agent started may get openings: something listens at its address, it was not draining,
 // and it is known whether its availability zone is evacuated.
 //
-// After all processes were killed, most agents return long before the next heartbeats of
-// their upstreams, and the few upstreams that have announced themselves can't serve all
+// After all processes were killed, most agents return long before the next announcements
+// of their upstreams, and the few upstreams that have announced themselves can't serve all
 // callers. Balancers still prefer upstreams that have announced themselves. The others are
 // treated as cold.
 func (a *Agent) mayTryUnannounced() bool {
@@ -76,7 +76,7 @@
 	return max(u.slots, 1)
 }
 
-// requests returns the number of requests that the upstream has or will have shortly.
+// requestCount returns the number of requests that the upstream has or will have shortly.
 func (a *Agent) requestCount(now time.Duration) int {
 	return a.underWay + a.expectedRequests.count(now)
 }
@@ -139,7 +139,10 @@
 		a.flows.set(k.Flow, f)
 		a.expectedRequests.add(1, now)
 		a.Count.Taken++
-		a.Log.logDecision(decision{event: events.OpeningTaken, flow: k.Flow, agent: from, version: a.version, hop: uint8(min(a.underWay, 255))}, now)
+		a.Log.logDecision(decision{
+			event: events.OpeningTaken, flow: k.Flow, agent: from, version: a.version,
+			hop: uint8(min(a.underWay, 255)),
+		}, now)
 	}
 	f.balancer, f.opening = from, h.Opening
 	if a.upstream.isSilent(now) {
@@ -164,8 +167,13 @@
 
 func (a *Agent) decline(to IP, h Message, f Flow, r Reason, now time.Duration) {
 	a.Count.Declined++
-	a.Log.logDecision(decision{event: events.OpeningDeclined, flow: f, agent: to, reason: r, version: a.version}, now)
-	a.sendFlowMessage(to, Message{Kind: KindRefused, Reason: r, Requests: uint8(min(a.requestCount(now), math.MaxUint8)), Opening: h.Opening, Service: a.Service, Load: a.load(now)}, f)
+	a.Log.logDecision(decision{
+		event: events.OpeningDeclined, flow: f, agent: to, reason: r, version: a.version,
+	}, now)
+	a.sendFlowMessage(to, Message{
+		Kind: KindRefused, Reason: r, Requests: uint8(min(a.requestCount(now), math.MaxUint8)),
+		Opening: h.Opening, Service: a.Service, Load: a.load(now),
+	}, f)
 }
 
 // sendFlowMessage sends a message about a flow to a balancer.
--- a/datagram/gate_test.go
+++ b/datagram/gate_test.go
@@ -21,7 +21,10 @@
 		"ready":           {func(a *Agent) { a.HandleAnnouncement(&ready, now) }, Message{Service: 7}, ReasonNone},
 		"another service": {func(a *Agent) { a.HandleAnnouncement(&ready, now) }, Message{Service: 8}, ReasonWrongService},
 		"not announced":   {func(*Agent) {}, Message{Service: 7}, ReasonUpstreamUnknown},
-		"not announced, listens, evacuated zones unknown": {func(a *Agent) { a.SetRecordedDraining(false); a.HandleProbeResult(ProbeAccepted, now) }, Message{Service: 7}, ReasonUpstreamUnknown},
+		"not announced, listens, evacuated zones unknown": {func(a *Agent) {
+			a.SetRecordedDraining(false)
+			a.HandleProbeResult(ProbeAccepted, now)
+		}, Message{Service: 7}, ReasonUpstreamUnknown},
 		"not announced, listens, record not read": {func(a *Agent) {
 			a.HandleProbeResult(ProbeAccepted, now)
 			a.setZonesOut(nil, 9, now)
@@ -61,9 +64,12 @@
 			a.HandleAnnouncement(&ready, now)
 			a.HandleProbeResult(ProbeRefused, now)
 		}, Message{Service: 7}, ReasonNone},
-		"draining":       {func(a *Agent) { a.HandleAnnouncement(&draining, now) }, Message{Service: 7}, ReasonDraining},
-		"deregistered":   {func(a *Agent) { a.HandleAnnouncement(&ready, now); a.Deregister("", now) }, Message{Service: 7}, ReasonUpstreamGone},
-		"zone evacuated": {func(a *Agent) { a.HandleAnnouncement(&ready, now); a.setZonesOut([]ZoneKey{3}, 9, now) }, Message{Service: 7}, ReasonZoneOut},
+		"draining":     {func(a *Agent) { a.HandleAnnouncement(&draining, now) }, Message{Service: 7}, ReasonDraining},
+		"deregistered": {func(a *Agent) { a.HandleAnnouncement(&ready, now); a.Deregister("", now) }, Message{Service: 7}, ReasonUpstreamGone},
+		"zone evacuated": {func(a *Agent) {
+			a.HandleAnnouncement(&ready, now)
+			a.setZonesOut([]ZoneKey{3}, 9, now)
+		}, Message{Service: 7}, ReasonZoneOut},
 		"zone evacuated in an older revision": {func(a *Agent) {
 			a.HandleAnnouncement(&ready, now)
 			a.setZonesOut(nil, 9, now)
@@ -109,7 +115,7 @@
 }
 
 // Guards against the flows of an evacuated zone ending all at once, or after the evacuation
-// bound.
+// time.
 func TestEvacuationEndsFlowsGradually(t *testing.T) {
 	for name, bound := range map[string]time.Duration{"default": 0, "short": 2 * time.Second} {
 		t.Run(name, func(t *testing.T) {
@@ -126,7 +132,7 @@
 					t.Fatal("a flow ended in the first half of the evacuation")
 				}
 				if !a.isEvacuated(f, time.Second+bound) {
-					t.Fatal("a flow continues after the evacuation bound")
+					t.Fatal("a flow continues after the evacuation time")
 				}
 				ends[a.evacuationDelay(f)*10/bound]++
 			}
--- a/datagram/homes.go
+++ b/datagram/homes.go
@@ -8,7 +8,7 @@
 )
 
 // Each flow has two homes: balancers chosen by rendezvous hashing among those that are
-// alive. The agent that holds the flow reports it to them, and a balancer that does not know
+// alive. The agent that holds the flow registers it there, and a balancer that does not know
 // where the flow is asks them. So a lookup costs the same in a fleet of any size.
 
 // homesPerFlow is the number of homes of a flow, so that one of them may fail.
@@ -81,7 +81,7 @@
 // maxHolders bounds the agents that are recorded for one flow.
 const maxHolders = 3
 
-// holders are the agents that reported to hold a flow, the latest first. There can be
+// holders are the agents that registered a flow as theirs, the latest first. There can be
 // several, as two upstreams may have accepted the same opening, and callers reuse ports.
 type holders [maxHolders]IP
 
--- a/datagram/log.go
+++ b/datagram/log.go
@@ -47,8 +47,9 @@
 		return
 	}
 	l.Log.Decide(events.Decision{
-		ID: d.event, Reason: events.Reason(d.reason.String()), Caller: d.flow.Caller.AddrPort(), Address: d.flow.Address.AddrPort(),
-		Target: target(d.agent), Hop: int(d.hop), Class: int(d.class), Version: uint64(d.version), Age: d.age, Request: d.request,
+		ID: d.event, Reason: events.Reason(d.reason.String()),
+		Caller: d.flow.Caller.AddrPort(), Address: d.flow.Address.AddrPort(), Target: target(d.agent),
+		Hop: int(d.hop), Class: int(d.class), Version: uint64(d.version), Age: d.age, Request: d.request,
 	})
 }
 
@@ -66,8 +67,9 @@
 		return
 	}
 	s := &a.status
-	l.Log.Add(events.AgentChanged, slog.String("doubt", doubt), slog.String("agent", a.ip.String()), slog.String("state", s.State.String()),
-		slog.Bool("leaving", s.Leaving), slog.Duration("cold", s.ColdRemaining.Duration()), slog.Uint64("life", uint64(s.Life)),
+	l.Log.Add(events.AgentChanged, slog.String("doubt", doubt), slog.String("agent", a.ip.String()),
+		slog.String("state", s.State.String()), slog.Bool("leaving", s.Leaving),
+		slog.Duration("cold", s.ColdRemaining.Duration()), slog.Uint64("life", uint64(s.Life)),
 		slog.Duration("age", now-a.lastSeen), slog.Duration("every", s.Interval.Duration()))
 }
 
--- a/datagram/lookup.go
+++ b/datagram/lookup.go
@@ -31,7 +31,7 @@
 	minRoundInterval = 100 * time.Millisecond
 	maxRoundInterval = 400 * time.Millisecond
 	// anyAgentRound is the first round that also asks agents that know all flows of their
-	// upstreams. By then such agents have reported their flows to the homes that they can
+	// upstreams. By then such agents have registered their flows at the homes that they can
 	// reach.
 	anyAgentRound = 4
 	// maxAsksPerRound bounds the agents that are asked in one round.
@@ -60,9 +60,10 @@
 	homes         homes
 	awaitingHomes bool               // the homes were asked in this round and may still answer
 	homeAnswered  [homesPerFlow]bool // the home has answered
-	authoritative [homesPerFlow]bool // its answer is authoritative: it knows the flows of all agents but the uncovered
-	holders       []IP               // agents that homes named
-	uncovered     []IP               // agents whose flows the homes do not know completely
+	// authoritative is set for a home that knows the flows of all agents but the uncovered.
+	authoritative [homesPerFlow]bool
+	holders       []IP // agents that homes named
+	uncovered     []IP // agents whose flows the homes do not know completely
 	asked         []IP
 	// answered are the agents that denied the flow or reported that they can't tell.
 	answered     []IP
@@ -106,7 +107,7 @@
 }
 
 // lookUp starts a lookup for the packet in m[HeaderLen:], or adds the packet to the lookup
-// in progress. If an agent has just denied the flow, it is passed as denied and is not asked
+// in progress. denied, unless 0, is an agent that has just denied the flow and is not asked
 // again.
 func (b *Balancer) lookUp(m []byte, p Packet, denied IP, now time.Duration) {
 	l := b.lookups.byFlow[p.Flow]
@@ -174,7 +175,7 @@
 	b.advance(l, now)
 }
 
-// askHome asks one home for the flow.
+// askHome asks one home which agents hold the flow.
 func (b *Balancer) askHome(l *lookup, ip IP) {
 	b.send(appendFlow(b.scratch[:HeaderLen], l.flow), Message{Kind: KindLocate}, ip)
 }
@@ -235,7 +236,10 @@
 		b.resetIfConnected(l, now)
 		return
 	}
-	b.Log.logDecision(decision{event: events.FlowNotFound, flow: l.flow, reason: l.notFoundReason(), hop: uint8(min(len(l.asked), 255)), version: b.ConfigurationVersion(), age: now - l.since}, now)
+	b.Log.logDecision(decision{
+		event: events.FlowNotFound, flow: l.flow, reason: l.notFoundReason(),
+		hop: uint8(min(len(l.asked), 255)), version: b.ConfigurationVersion(), age: now - l.since,
+	}, now)
 	b.Count.NotFound++
 	if l.asksLeft > 0 { // every candidate was asked, so the next round starts over
 		l.asked = slices.Clone(l.denied)
@@ -266,6 +270,7 @@
 }
 
 // agentForCheck returns an agent that would answer at once that it does not hold the flow.
+// Any answer proves that this balancer is not cut off.
 func (b *Balancer) agentForCheck(l *lookup, now time.Duration) *agentView {
 	return b.bestAgent(l, now, func(a *agentView) bool { return a.status.KnowsAll })
 }
@@ -343,7 +348,10 @@
 		return
 	}
 	b.endLookup(l)
-	b.Log.logDecision(decision{event: events.FlowFound, flow: f, agent: from, hop: uint8(min(len(l.asked), 255)), version: b.ConfigurationVersion(), age: now - l.since}, now)
+	b.Log.logDecision(decision{
+		event: events.FlowFound, flow: f, agent: from,
+		hop: uint8(min(len(l.asked), 255)), version: b.ConfigurationVersion(), age: now - l.since,
+	}, now)
 	n := 0
 	if slices.Contains(l.asked, from) {
 		n = 1 // the agent already got the first packet
@@ -400,7 +408,10 @@
 	b.endLookup(l)
 	b.flows.remove(l.flow)
 	b.Count.Cut++
-	b.Log.logDecision(decision{event: events.FlowCut, flow: l.flow, reason: ReasonNotFound, hop: uint8(min(len(l.asked), 255)), version: b.ConfigurationVersion(), age: now - l.since}, now)
+	b.Log.logDecision(decision{
+		event: events.FlowCut, flow: l.flow, reason: ReasonNotFound,
+		hop: uint8(min(len(l.asked), 255)), version: b.ConfigurationVersion(), age: now - l.since,
+	}, now)
 	b.sendReset(l.flow, l.ackNumber)
 }
 
--- a/datagram/lookup_test.go
+++ b/datagram/lookup_test.go
@@ -80,10 +80,10 @@
 			leaveUnanswered(b, 1, now)
 			leaveUnanswered(b, 2, now)
 		}, 0, 0, 0},
-		"agent just recorded, never heard": {func(b *Balancer, now time.Duration) {
+		"agent just recorded, no status received": {func(b *Balancer, now time.Duration) {
 			b.SetMembers([]Member{{IP: 9, Agent: true, Service: 7}}, true, now)
 		}, 0, 0, 0},
-		"agent recorded for long, never heard": {func(b *Balancer, now time.Duration) {
+		"agent recorded for long, no status received": {func(b *Balancer, now time.Duration) {
 			b.SetMembers([]Member{{IP: 9, Agent: true, Service: 7}}, true, now-2*unseenTimeout)
 		}, 0, 0, 1},
 		"the other home does not answer": {func(b *Balancer, now time.Duration) {
@@ -109,11 +109,12 @@
 	}
 }
 
-// leaveUnanswered makes an agent one that was heard long ago and has not answered the
-// balancer's questions.
+// leaveUnanswered makes an agent one whose last status arrived long ago and that has left all
+// verifications unanswered.
 func leaveUnanswered(b *Balancer, ip IP, now time.Duration) {
 	a := b.agents.byIP[ip]
-	a.lastSeen, a.suspicion = now-2*failureDetectionTime, suspicion{now - failureDetectionTime, maxUnanswered, now - verifyInterval}
+	a.lastSeen, a.suspicion = now-2*failureDetectionTime,
+		suspicion{now - failureDetectionTime, maxUnanswered, now - verifyInterval}
 }
 
 // addPeer adds another balancer that is alive, and makes the agents know it too.
@@ -137,7 +138,9 @@
 func TestLookupFindsFlowOfFormerService(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 3, now-200*time.Millisecond)
-	b.agents.applyStatus(9, AgentStatus{Life: 9, Sequence: 1, Service: 8, State: UpstreamReady, KnowsAll: true, Homes: b.homes.digest}, now)
+	b.agents.applyStatus(9, AgentStatus{
+		Life: 9, Sequence: 1, Service: 8, State: UpstreamReady, KnowsAll: true, Homes: b.homes.digest,
+	}, now)
 	addPeer(b, 101, now)
 	b.HandleCaller(plainPacket(plainData, 5), now)
 	answerAsHome(b, 101, 5, now, 9)
@@ -329,7 +332,7 @@
 }
 
 // Guards against a home that denies a flow although its agent chooses homes from another set
-// of balancers and has therefore reported the flow to other homes.
+// of balancers and has therefore registered the flow at other homes.
 func TestHomeIsNotAuthoritativeForOtherHomeSets(t *testing.T) {
 	now := 10 * time.Second
 	b, _ := testBalancer(t, 3, now)
--- a/datagram/message.go
+++ b/datagram/message.go
@@ -141,7 +141,8 @@
 	}
 	binary.BigEndian.PutUint32(b[8:], m.Opening)
 	binary.BigEndian.PutUint64(b[12:], uint64(m.Service))
-	binary.BigEndian.PutUint64(b[tagOffset:], k.Tag(b[:tagOffset], b[HeaderLen:HeaderLen+m.Kind.authenticatedLen(len(b)-HeaderLen)]))
+	binary.BigEndian.PutUint64(b[tagOffset:],
+		k.Tag(b[:tagOffset], b[HeaderLen:HeaderLen+m.Kind.authenticatedLen(len(b)-HeaderLen)]))
 }
 
 // Get reads the header of b and returns the payload. It returns false for a malformed or
@@ -152,7 +153,8 @@
 	}
 	m.Kind = Kind(b[1])
 	k, ok := ks.Find(b[2])
-	if !ok || k.Tag(b[:tagOffset], b[HeaderLen:HeaderLen+m.Kind.authenticatedLen(len(b)-HeaderLen)]) != binary.BigEndian.Uint64(b[tagOffset:]) {
+	if !ok || k.Tag(b[:tagOffset], b[HeaderLen:HeaderLen+m.Kind.authenticatedLen(len(b)-HeaderLen)]) !=
+		binary.BigEndian.Uint64(b[tagOffset:]) {
 		return nil, false
 	}
 	m.Reason, m.Flags = Reason(b[3]), Flags(b[5])
--- a/datagram/message_test.go
+++ b/datagram/message_test.go
@@ -44,12 +44,18 @@
 }
 
 func TestStatusRoundTrip(t *testing.T) {
-	a := AgentStatus{Life: 1, Sequence: 2, Uptime: 3, Service: 4, Zone: 5, State: UpstreamDraining, Leaving: true, Slots: 6, Flows: 7, UnderWay: 8, ColdRemaining: 9}
+	a := AgentStatus{
+		Life: 1, Sequence: 2, Uptime: 3, Service: 4, Zone: 5, State: UpstreamDraining, Leaving: true,
+		Slots: 6, Flows: 7, UnderWay: 8, ColdRemaining: 9,
+	}
 	var got AgentStatus
 	if b := a.append(nil); !got.decode(b) || got != a || len(b) != agentStatusLen {
 		t.Errorf("agent status decoded as %+v", got)
 	}
-	b := BalancerStatus{Life: 1, Version: 2, Revision: 3, Leaving: true, Detached: true, Zones: []ZoneKey{4, 5}, Balancers: []IP{6, 7, 8}}
+	b := BalancerStatus{
+		Life: 1, Version: 2, Revision: 3, Leaving: true, Detached: true,
+		Zones: []ZoneKey{4, 5}, Balancers: []IP{6, 7, 8},
+	}
 	var back BalancerStatus
 	if !back.decode(b.append(nil)) || !reflect.DeepEqual(back, b) {
 		t.Errorf("balancer status decoded as %+v", back)
--- a/datagram/observe.go
+++ b/datagram/observe.go
@@ -10,8 +10,8 @@
 	// ObserveOpening: from the arrival of a caller's opening at a balancer until an
 	// upstream accepted it.
 	ObserveOpening Observation = iota
-	// ObserveHandshake: from passing an opening to the upstream until the upstream accepted
-	// it.
+	// ObserveHandshake: from forwarding an opening to the upstream until the upstream
+	// accepted it.
 	ObserveHandshake
 	// ObserveRequest: from the first packet of a request until the first packet of its
 	// answer.
@@ -52,7 +52,8 @@
 // Status returns the balancer's state and counts.
 func (b *Balancer) Status(now time.Duration) BalancerState {
 	s := BalancerState{
-		Counts: b.Count, Version: b.ConfigurationVersion(), Revision: b.revision, ZonesOut: len(b.zonesOut), Flows: b.flows.len(),
+		Counts: b.Count, Version: b.ConfigurationVersion(), Revision: b.revision,
+		ZonesOut: len(b.zonesOut), Flows: b.flows.len(),
 		Agents: len(b.agents.byIP), Balancers: len(b.peers), Ready: b.Ready(),
 	}
 	for _, a := range b.agents.byIP {
--- a/datagram/openings.go
+++ b/datagram/openings.go
@@ -181,7 +181,8 @@
 		return
 	}
 	o := b.openings.add()
-	o.flow, o.service, o.started, o.urgent, o.targetLatency = p.Flow, s, now-retransmissionAge(p.AckNumber), r.Urgent, r.TargetLatency
+	o.flow, o.service, o.started, o.urgent, o.targetLatency =
+		p.Flow, s, now-retransmissionAge(p.AckNumber), r.Urgent, r.TargetLatency
 	if n := len(m) - HeaderLen; n <= maxOpeningLen {
 		o.length = copy(o.packet[HeaderLen:], m[HeaderLen:])
 	}
@@ -192,7 +193,7 @@
 // repeatOpening starts another round when the caller retransmits its opening.
 func (b *Balancer) repeatOpening(o *opening, now time.Duration) {
 	if o.deadline != 0 {
-		return // an agent is being asked
+		return // an agent is being asked, or the opening waits for capacity
 	}
 	o.attempts, o.leastBusy, o.busy, o.forced = 0, 0, false, false
 	b.tryNextAgent(o, now)
@@ -265,10 +266,13 @@
 	o.agent = a.ip
 	a.pendingOpenings++
 	b.Log.logDecision(decision{
-		event: events.OpeningPlaced, flow: o.flow, agent: a.ip, hop: uint8(o.attempts), version: b.ConfigurationVersion(), class: c, age: now - a.lastSeen,
+		event: events.OpeningPlaced, flow: o.flow, agent: a.ip, hop: uint8(o.attempts),
+		version: b.ConfigurationVersion(), class: c, age: now - a.lastSeen,
 	}, now)
 	o.priority = p
-	b.send(o.packet[:HeaderLen+o.length], Message{Kind: KindOpening, Priority: p, Opening: o.id, Service: o.service, Cold: b.coldRate(o.service)}, a.ip)
+	b.send(o.packet[:HeaderLen+o.length], Message{
+		Kind: KindOpening, Priority: p, Opening: o.id, Service: o.service, Cold: b.coldRate(o.service),
+	}, a.ip)
 	b.openings.startTimeout(o, now)
 }
 
@@ -287,7 +291,10 @@
 		b.Count.NoAgent++
 	}
 	if o.inconclusive || o.attempts == 0 {
-		b.Log.logDecision(decision{event: events.OpeningUnplaced, flow: o.flow, hop: uint8(o.attempts), reason: ReasonNoAgent, version: b.ConfigurationVersion(), age: now - o.started}, now)
+		b.Log.logDecision(decision{
+			event: events.OpeningUnplaced, flow: o.flow,
+			hop: uint8(o.attempts), reason: ReasonNoAgent, version: b.ConfigurationVersion(), age: now - o.started,
+		}, now)
 		return
 	}
 	p, _ := b.Format.Parse(o.packet[HeaderLen : HeaderLen+o.length])
@@ -306,10 +313,12 @@
 	*o = opening{}
 }
 
-// refuse resets an opening that no agent was sent, or that all agents refused.
+// refuse resets an opening that was sent to no agent, or that all agents refused.
 func (b *Balancer) refuse(f Flow, seq uint32, cause Reason, now time.Duration) {
 	b.Count.Resets++
-	b.Log.logDecision(decision{event: events.OpeningRefused, flow: f, reason: cause, version: b.ConfigurationVersion()}, now)
+	b.Log.logDecision(decision{
+		event: events.OpeningRefused, flow: f, reason: cause, version: b.ConfigurationVersion(),
+	}, now)
 	b.sendReset(f, seq)
 }
 
@@ -360,7 +369,10 @@
 			o.leastBusy, o.leastBusyLoad = from, h.Load
 		}
 	}
-	b.Log.logDecision(decision{event: events.OpeningPassed, flow: o.flow, agent: from, reason: h.Reason, hop: uint8(o.attempts), version: b.ConfigurationVersion(), age: now - o.sentAt}, now)
+	b.Log.logDecision(decision{
+		event: events.OpeningPassed, flow: o.flow, agent: from, reason: h.Reason,
+		hop: uint8(o.attempts), version: b.ConfigurationVersion(), age: now - o.sentAt,
+	}, now)
 	b.tryNextAgent(o, now)
 }
 
@@ -381,7 +393,10 @@
 			}
 		}
 		o.inconclusive = true
-		b.Log.logDecision(decision{event: events.OpeningPassed, flow: o.flow, agent: o.agent, reason: ReasonNoAnswer, hop: uint8(o.attempts), version: b.ConfigurationVersion(), age: now - o.sentAt}, now)
+		b.Log.logDecision(decision{
+			event: events.OpeningPassed, flow: o.flow, agent: o.agent, reason: ReasonNoAnswer,
+			hop: uint8(o.attempts), version: b.ConfigurationVersion(), age: now - o.sentAt,
+		}, now)
 		if now-o.started > openingTimeout {
 			o.deadline = 0
 			continue
--- a/datagram/openings_test.go
+++ b/datagram/openings_test.go
@@ -176,9 +176,11 @@
 		took        []time.Duration
 		least, most time.Duration
 	}{
-		"no answer yet":   {nil, minAnswerTimeout, minAnswerTimeout},
-		"fast":            {[]time.Duration{3 * time.Millisecond, 5 * time.Millisecond, 4 * time.Millisecond}, minAnswerTimeout, minAnswerTimeout},
-		"slow":            {[]time.Duration{80 * time.Millisecond, 90 * time.Millisecond, 80 * time.Millisecond, 100 * time.Millisecond}, 100 * time.Millisecond, maxAnswerTimeout},
+		"no answer yet": {nil, minAnswerTimeout, minAnswerTimeout},
+		"fast":          {[]time.Duration{3 * time.Millisecond, 5 * time.Millisecond, 4 * time.Millisecond}, minAnswerTimeout, minAnswerTimeout},
+		"slow": {[]time.Duration{
+			80 * time.Millisecond, 90 * time.Millisecond, 80 * time.Millisecond, 100 * time.Millisecond,
+		}, 100 * time.Millisecond, maxAnswerTimeout},
 		"very slow":       {[]time.Duration{time.Second, time.Second}, maxAnswerTimeout, maxAnswerTimeout},
 		"fast after slow": {append([]time.Duration{200 * time.Millisecond}, make([]time.Duration, 40)...), minAnswerTimeout, minAnswerTimeout},
 	} {
--- a/datagram/packet.go
+++ b/datagram/packet.go
@@ -94,7 +94,7 @@
 	Ack          bool
 	Fin          bool
 	Reset        bool
-	// Bounced is set in a packet that the upstream returned because it does not hold the
+	// Bounced is set in a packet that the upstream bounced because it does not hold the
 	// flow or can't accept it.
 	Bounced bool
 	Seq     uint32
--- a/datagram/peers.go
+++ b/datagram/peers.go
@@ -199,8 +199,8 @@
 }
 
 // deadMemberTimeout is how long a member must be silent before its record is removed. It is
-// longer than a VM takes to return. A member that is alive writes its record again when it
-// starts.
+// longer than a VM takes to return. A member that returns later writes its record again
+// when it starts.
 const deadMemberTimeout = 10 * time.Second
 
 func (b *Balancer) expirePeers(now time.Duration) {
@@ -223,7 +223,7 @@
 }
 
 // sendStatusToNew sends the status to every process that has not been sent one, and again
-// to those that have sent none themselves, because they may have started since.
+// to those that have sent none themselves, because they may have started after it was sent.
 func (b *Balancer) sendStatusToNew(now time.Duration) {
 	due := func(lastSeen, discovered, lastSent time.Duration) bool {
 		return lastSent == 0 || lastSeen == 0 && now-discovered < newMemberPeriod && now-lastSent >= StatusInterval
--- a/datagram/placement.go
+++ b/datagram/placement.go
@@ -29,8 +29,10 @@
 // zone.
 //
 // Agents in tried, and agents that would decline an opening of the priority, are left out.
-// busy is true if there is an agent of the latter kind.
-func (x *agents) choose(hash uint64, s ServiceKey, tried []IP, p Priority, now time.Duration) (_ *agentView, _ class, busy bool) {
+// busy is true if an agent of the latter kind is neither doubted nor excluded.
+func (x *agents) choose(hash uint64, s ServiceKey, tried []IP, p Priority, now time.Duration) (
+	_ *agentView, _ class, busy bool,
+) {
 	var all, near topTwo
 	best := classExcluded
 	for _, a := range x.byService[s] {
--- a/datagram/registrar.go
+++ b/datagram/registrar.go
@@ -49,8 +49,8 @@
 	return f.phase >= flowAccepted && !f.finished && a.isCurrentLife(f.born)
 }
 
-// isCurrentLife reports whether a flow that was opened in the given life of the upstream
-// (0: unknown) may belong to the current life.
+// isCurrentLife reports whether a flow that was opened in the given run of the upstream may
+// belong to its current run. born is Announcement.Born of the given run; 0 means unknown.
 func (a *Agent) isCurrentLife(born int64) bool { return born == 0 || born == a.upstream.born }
 
 // register registers the flow at its homes.
@@ -86,7 +86,8 @@
 	}
 	for part := range slices.Chunk(ks, maxEntries) {
 		m := a.scratch[:HeaderLen]
-		m, _ = binary.Append(m, binary.BigEndian, &entriesHeader{a.Life, v.epoch, v.entries}) // a fixed-size struct can't fail
+		// A fixed-size struct can't fail.
+		m, _ = binary.Append(m, binary.BigEndian, &entriesHeader{a.Life, v.epoch, v.entries})
 		for _, k := range part {
 			m = appendFlow(m, k)
 		}
@@ -129,7 +130,8 @@
 	if a.homes = newHomeSet(ips); a.homes.equal(&old) {
 		return
 	}
-	a.previousHomes = append(a.previousHomes[max(0, len(a.previousHomes)+1-maxPreviousHomes):], previousHomeSet{old, now + previousHomesLifetime})
+	a.previousHomes = append(a.previousHomes[max(0, len(a.previousHomes)+1-maxPreviousHomes):],
+		previousHomeSet{old, now + previousHomesLifetime})
 	a.scheduleHomesStatus(now)
 	moved := map[IP][]Flow{}
 	for k, f := range a.flows.all() {
--- a/datagram/status.go
+++ b/datagram/status.go
@@ -19,7 +19,7 @@
 	UpstreamReady
 	UpstreamDraining
 	UpstreamGone
-	// UpstreamSilent: the upstream did not answer an opening that it was given.
+	// UpstreamSilent: the upstream did not answer an opening that was forwarded to it.
 	UpstreamSilent
 	// UpstreamAbsent: nothing listens at the upstream's address.
 	UpstreamAbsent
@@ -131,7 +131,9 @@
 
 func (s *BalancerStatus) append(b []byte) []byte {
 	z, r := s.Zones[:min(len(s.Zones), maxZones)], s.Balancers[:min(len(s.Balancers), maxBalancers)]
-	h := balancerStatusHeader{s.Life, s.Version, s.Revision, s.Leaving, s.Detached, s.Agents, s.Homes, uint8(len(z)), uint8(len(r))}
+	h := balancerStatusHeader{
+		s.Life, s.Version, s.Revision, s.Leaving, s.Detached, s.Agents, s.Homes, uint8(len(z)), uint8(len(r)),
+	}
 	b, _ = binary.Append(b, binary.BigEndian, &h)
 	b, _ = binary.Append(b, binary.BigEndian, z)
 	b, _ = binary.Append(b, binary.BigEndian, r)
@@ -144,7 +146,10 @@
 	if binary.Read(r, binary.BigEndian, &h) != nil || r.Len() != int(h.Zones)*8+int(h.Balancers)*4 {
 		return false
 	}
-	*s = BalancerStatus{Life: h.Life, Version: h.Version, Revision: h.Revision, Leaving: h.Leaving, Detached: h.Detached, Agents: h.Agents, Homes: h.Homes}
+	*s = BalancerStatus{
+		Life: h.Life, Version: h.Version, Revision: h.Revision, Leaving: h.Leaving,
+		Detached: h.Detached, Agents: h.Agents, Homes: h.Homes,
+	}
 	s.Zones, s.Balancers = make([]ZoneKey, h.Zones), make([]IP, h.Balancers)
 	return binary.Read(r, binary.BigEndian, s.Zones) == nil && binary.Read(r, binary.BigEndian, s.Balancers) == nil
 }
--- a/datagram/suspicion.go
+++ b/datagram/suspicion.go
@@ -28,7 +28,7 @@
 	failureDetectionTime = maxMissedStatuses*LargeFleetInterval + deliveryMargin + (maxUnanswered+1)*verifyInterval
 )
 
-// suspicion is a balancer's assumption that an agent may have failed.
+// suspicion records since when a balancer suspects an agent, and how it was verified since.
 type suspicion struct {
 	since         time.Duration // when it began; 0: no suspicion
 	verifications int           // verifications since then that count
@@ -51,7 +51,7 @@
 	return s.verifications > maxUnanswered || s.verifications == maxUnanswered && now-s.lastVerified >= verifyInterval
 }
 
-// suspect marks the agent as possibly failed.
+// suspect begins a suspicion of the agent and logs its cause.
 func (b *Balancer) suspect(a *agentView, cause string, now time.Duration) {
 	a.suspicion = suspicion{since: now}
 	b.Log.agentChanged(a, cause, now)
--- a/datagram/upstream.go
+++ b/datagram/upstream.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Announcement is the status that an upstream reports to its agent.
+// Announcement is the status that an upstream reports to its agent in each heartbeat.
 type Announcement struct {
 	ID       string
 	Service  ServiceKey
@@ -50,11 +50,11 @@
 const upstreamSilenceTimeout = 50 * time.Millisecond
 
 // apply applies an announcement. It returns fresh as false if the announcement is late or
-// repeated, and reborn as true if it is of another run of the upstream.
+// repeated, and reborn as true if it is of a later run of the upstream.
 //
-// A delayed heartbeat must not undo the one that followed it: a draining upstream would get
-// flows again. It has a sequence not above the last one of the same run, or belongs to an
-// earlier run.
+// A delayed announcement must not undo the one that followed it: a draining upstream would
+// get flows again. A delayed one has a sequence not above the last one of the same run, or
+// belongs to an earlier run.
 func (u *upstream) apply(a *Announcement, now time.Duration) (fresh, reborn bool) {
 	switch {
 	case a.Born < u.born, a.Born == u.born && a.Sequence <= u.sequence && u.state != UpstreamUnknown:
@@ -93,9 +93,9 @@
 }
 
 // minRestartTime is less than the time that a killed process takes to restart. The age of an
-// upstream is wrong if its VM's clock has jumped back since it started: small or negative.
-// An age that is positive and too small misleads only if the clock jumps and both upstream
-// and agent restart within seconds.
+// upstream is too small or negative if its VM's clock has jumped back since it started. An
+// age that is positive and too small misleads only if the clock jumps and both upstream and
+// agent restart within seconds.
 const minRestartTime = 200 * time.Millisecond
 
 // isSilent reports whether the upstream has left an opening unanswered.
--- a/datagram/upstream_test.go
+++ b/datagram/upstream_test.go
@@ -37,7 +37,7 @@
 		announcements []Announcement
 		want          bool
 	}{
-		"first heartbeat":          {[]Announcement{{Born: 5, Sequence: 1}}, true},
+		"first announcement":       {[]Announcement{{Born: 5, Sequence: 1}}, true},
 		"agent restarted":          {[]Announcement{{Born: 5, Sequence: 8}}, false},
 		"next run, announced late": {[]Announcement{{Born: 5, Sequence: 8}, {Born: 9, Sequence: 3}}, true},
 		"started with the agent":   {[]Announcement{{Born: 5, Sequence: 3, Age: 150 * time.Millisecond}}, true},
