--- a/datagram/absence.go
+++ b/datagram/absence.go
@@ -13,8 +13,8 @@
 // endpoint is not used, because a call to it takes a slot and its answer is misleading.
 
 const (
-	// heartbeatTimeout is two of the upstream's announcement intervals.
-	heartbeatTimeout = 1540 * time.Millisecond
+	// announcementTimeout is two of the upstream's announcement intervals.
+	announcementTimeout = 1540 * time.Millisecond
 	// muteTimeout is how long an upstream must have sent nothing for a caller's
 	// retransmission to raise a suspicion. It is shorter than the time after which callers
 	// retransmit.
@@ -34,7 +34,7 @@
 	case UpstreamAbsent:
 		return false
 	}
-	return u.callerRepeated || u.isSilent(now) || now-u.announcedAt > heartbeatTimeout
+	return u.callerRetransmitted || u.isSilent(now) || now-u.announcedAt > announcementTimeout
 }
 
 // probe starts a connection attempt to the upstream's address if a crash is suspected.
@@ -52,7 +52,7 @@
 	switch {
 	case a.Probe == nil || a.probing || u.state == UpstreamAbsent:
 		return math.MaxInt64
-	case u.callerRepeated:
+	case u.callerRetransmitted:
 		return a.lastProbe + probeInterval
 	case u.unansweredSince != 0:
 		return max(u.unansweredSince+upstreamSilenceTimeout+time.Millisecond, a.lastProbe+probeInterval)
--- a/datagram/agent.go
+++ b/datagram/agent.go
@@ -67,7 +67,7 @@
 	lastRecount      time.Duration
 	probing          bool
 	lastProbe        time.Duration // when the last probe began; 0: never
-	recalled         recordedState
+	recorded         recordedState
 	pending          [maxPending]pending
 	lastScratch      uint32
 	sequence         uint32
@@ -98,9 +98,9 @@
 const (
 	// maxPending exceeds the number of packets that an upstream can hold unread.
 	maxPending = 4096
-	// flowTableTurn is the rotation interval of the flow table. It exceeds the idle timeout
+	// flowRotationInterval is the rotation interval of the flow table. It exceeds the idle timeout
 	// of flows.
-	flowTableTurn = 30 * time.Second
+	flowRotationInterval = 30 * time.Second
 	// maxFlows bounds an agent's memory.
 	maxFlows = 100_000
 	// maxFlowLifetime exceeds the longest lifetime of a flow.
@@ -125,7 +125,7 @@
 // Start initializes the agent. Its exported fields must be set before.
 func (a *Agent) Start() {
 	a.balancers = map[IP]*balancerView{}
-	a.flows = newTable[*flowState](flowTableTurn, maxFlows)
+	a.flows = newTable[*flowState](flowRotationInterval, maxFlows)
 }
 
 // AddBalancer adds a balancer unless it is already known, and sends it the agent's status.
--- a/datagram/balancer.go
+++ b/datagram/balancer.go
@@ -81,9 +81,9 @@
 }
 
 const (
-	// locationTableTurn is the rotation interval of the table of locations. It exceeds the
+	// locationRotationInterval is the rotation interval of the table of locations. It exceeds the
 	// longest pause within a flow, so that a location is kept as long as its flow is in use.
-	locationTableTurn = 30 * time.Second
+	locationRotationInterval = 30 * time.Second
 	// maxLocations bounds a balancer's memory; every flow beyond it costs a lookup.
 	maxLocations = 200_000
 )
@@ -94,7 +94,7 @@
 	b.agents = newAgents()
 	b.agents.placement, b.agents.zone, b.agents.zonesOut = b.Placement, b.Zone, b.zonesOut
 	b.peers = map[IP]*peerView{}
-	b.flows = newTable[flowLocation](locationTableTurn, maxLocations)
+	b.flows = newTable[flowLocation](locationRotationInterval, maxLocations)
 	b.openings = newOpenings()
 	b.homes = newHomeSet([]IP{b.Self})
 	b.directory = newDirectory()
--- a/datagram/bench_test.go
+++ b/datagram/bench_test.go
@@ -89,7 +89,7 @@
 		b.Run(fmt.Sprintf("balancer/%d", n), func(b *testing.B) {
 			for b.Loop() {
 				b.ReportMetric(heapOf(n, func() any {
-					t := newTable[flowLocation](locationTableTurn, maxLocations)
+					t := newTable[flowLocation](locationRotationInterval, maxLocations)
 					for i := range n {
 						t.set(flow(i), flowLocation{agent: 1})
 					}
@@ -111,7 +111,7 @@
 		b.Run(fmt.Sprintf("agent/%d", n), func(b *testing.B) {
 			for b.Loop() {
 				b.ReportMetric(heapOf(n, func() any {
-					t := newTable[*flowState](flowTableTurn, maxFlows)
+					t := newTable[*flowState](flowRotationInterval, maxFlows)
 					for i := range n {
 						t.set(flow(i), &flowState{phase: flowOpen})
 					}
@@ -140,10 +140,10 @@
 			}, time.Second)
 		}
 		p := appendFlow(nil, testFlow(9))
-		for name, look := range map[string]bool{"computing coverage": true, "coverage cached": false} {
+		for name, recompute := range map[string]bool{"computing coverage": true, "coverage cached": false} {
 			b.Run(fmt.Sprintf("%d agents, %s", n, name), func(b *testing.B) {
 				for b.Loop() {
-					if look {
+					if recompute {
 						x.directory.coverage.computedAt = 0
 					}
 					x.handleLocate(2, p, benchTime)
--- a/datagram/directory.go
+++ b/datagram/directory.go
@@ -204,14 +204,14 @@
 // that the balancer is cut off than that all of them are dead.
 func (b *Balancer) computeCoverage(c *coverage, now time.Duration) bool {
 	d := &b.directory
-	unheard := 0
+	unreachable := 0
 	for ip, a := range b.agents.byIP {
 		if !a.reachable(now) {
-			unheard++
+			unreachable++
 		}
 		switch {
 		case !a.mayHoldFlows(now):
-		case !a.reachable(now), b.stale(a):
+		case !a.reachable(now), b.silentSinceIsolation(a):
 			return false
 		case !a.status.KnowsAll:
 			if len(c.uncovered) == maxUncovered {
@@ -222,7 +222,7 @@
 			return false
 		}
 	}
-	return 2*unheard <= len(b.agents.byIP)
+	return 2*unreachable <= len(b.agents.byIP)
 }
 
 // maxHomeSets bounds the sets that are checked for each flow. There may be several, as
--- a/datagram/directory_test.go
+++ b/datagram/directory_test.go
@@ -212,7 +212,7 @@
 
 // Guards against flows that are missing in the directories of their new homes after a
 // balancer was added or removed.
-func TestFlowsAreReportedToNewHomes(t *testing.T) {
+func TestFlowsAreRegisteredAtNewHomes(t *testing.T) {
 	s := newRecorder(t)
 	a := &Agent{Service: 7, Format: plainFormat{}, Out: s, Keys: testKeys(t)}
 	a.Start()
@@ -313,7 +313,7 @@
 // Guards against resetting a live flow. While balancers start one after another, one of them
 // may still have an earlier set from which the agent chose homes. By that set it is a home of
 // flows, and without an entry it would deny them.
-func TestFlowsAreReportedToAllPossibleHomes(t *testing.T) {
+func TestFlowsAreRegisteredAtAllPossibleHomes(t *testing.T) {
 	keys := testKeys(t)
 	o := &homeViews{keys: keys, sets: map[IP]homeSet{}, flows: map[IP]map[Flow]bool{}}
 	a := &Agent{Service: 7, Format: plainFormat{}, Out: o, Keys: keys}
--- a/datagram/flows.go
+++ b/datagram/flows.go
@@ -83,7 +83,7 @@
 	case !known:
 		f = &flowState{phase: flowUnconfirmed, born: a.upstream.born, since: now}
 		a.flows.set(k.Flow, f)
-	case !a.isCurrentLife(f.born), a.upstream.state == UpstreamAbsent:
+	case !a.isCurrentRun(f.born), a.upstream.state == UpstreamAbsent:
 		a.endLostFlow(k, f, now)
 		return
 	case f.phase == flowOffered, f.phase == flowAccepted && k.AckNumber != f.accepted+1:
@@ -179,7 +179,7 @@
 		return
 	}
 	if f.callerSent && int32(end-f.sentUpTo) <= 0 {
-		a.upstream.callerRepeated = a.upstream.callerRepeated || now-a.upstream.lastPacket > muteTimeout
+		a.upstream.callerRetransmitted = a.upstream.callerRetransmitted || now-a.upstream.lastPacket > muteTimeout
 		return
 	}
 	f.callerSent, f.sentUpTo = true, end
@@ -209,7 +209,7 @@
 func (a *Agent) recount(now time.Duration) {
 	a.openFlows, a.underWay = 0, 0
 	for _, f := range a.flows.all() {
-		if f.phase != flowOpen || f.finished || !a.isCurrentLife(f.born) {
+		if f.phase != flowOpen || f.finished || !a.isCurrentRun(f.born) {
 			continue
 		}
 		a.openFlows++
@@ -269,7 +269,7 @@
 		return
 	}
 	u := &a.upstream
-	u.unansweredSince, u.hasSent, u.lastPacket, u.callerRepeated = 0, true, now, false
+	u.unansweredSince, u.hasSent, u.lastPacket, u.callerRetransmitted = 0, true, now, false
 	if k.Bounced {
 		a.handleBounced(k, m, now)
 		return
@@ -350,7 +350,7 @@
 
 // uncountFlow removes a flow from the counts.
 func (a *Agent) uncountFlow(s *flowState) {
-	if !a.isCurrentLife(s.born) {
+	if !a.isCurrentRun(s.born) {
 		return // the counts are those of another run of the upstream
 	}
 	if s.phase == flowOpen {
--- a/datagram/flows_test.go
+++ b/datagram/flows_test.go
@@ -88,10 +88,10 @@
 func TestSilentAgentMayHoldFlows(t *testing.T) {
 	now := 20 * time.Second
 	for name, x := range map[string]struct {
-		status AgentStatus
-		silent time.Duration
-		asks   int
-		want   bool
+		status        AgentStatus
+		silent        time.Duration
+		verifications int
+		want          bool
 	}{
 		"ready":                                  {AgentStatus{State: UpstreamReady}, 2 * time.Second, maxUnanswered - 1, true},
 		"ready, silent for long":                 {AgentStatus{State: UpstreamReady}, failureDetectionTime, maxUnanswered, false},
@@ -109,7 +109,7 @@
 		}, 2 * time.Second, maxUnanswered - 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := agentView{status: x.status, lastSeen: now - x.silent, suspicion: suspicion{now - x.silent, x.asks, now - verifyInterval}}
+			a := agentView{status: x.status, lastSeen: now - x.silent, suspicion: suspicion{now - x.silent, x.verifications, now - verifyInterval}}
 			if a.mayBeAlive(now) != x.want {
 				t.Errorf("agent may hold flows: %t", !x.want)
 			}
--- a/datagram/gate.go
+++ b/datagram/gate.go
@@ -46,9 +46,9 @@
 
 // SetRecordedDraining sets whether an earlier run recorded that the upstream drains.
 func (a *Agent) SetRecordedDraining(draining bool) {
-	a.recalled = recordServing
+	a.recorded = recordServing
 	if draining {
-		a.recalled = recordDraining
+		a.recorded = recordDraining
 	}
 }
 
@@ -61,7 +61,7 @@
 // callers. Balancers still prefer upstreams that have announced themselves. The others are
 // treated as cold.
 func (a *Agent) mayTryUnannounced() bool {
-	return a.upstream.listens && a.revision > 0 && a.recalled == recordServing
+	return a.upstream.listens && a.revision > 0 && a.recorded == recordServing
 }
 
 // assumedSlots is used for an upstream that has not announced its slots. If it has fewer,
--- a/datagram/lookup_test.go
+++ b/datagram/lookup_test.go
@@ -376,8 +376,8 @@
 	f.Add(appendIPs(append(p, 2|notAuthoritativeBit), []IP{1, 2}))
 	f.Add([]byte{0})
 	f.Fuzz(func(t *testing.T, p []byte) {
-		unsure, ls, ok := decodeLocated(p)
-		if !ok && (unsure != nil || ls != nil) {
+		uncovered, ls, ok := decodeLocated(p)
+		if !ok && (uncovered != nil || ls != nil) {
 			t.Error("a failed decode returned part of an answer")
 		}
 	})
--- a/datagram/placement.go
+++ b/datagram/placement.go
@@ -33,7 +33,7 @@
 func (x *agents) choose(hash uint64, s ServiceKey, tried []IP, p Priority, now time.Duration) (
 	_ *agentView, _ class, busy bool,
 ) {
-	var all, near topTwo
+	var all, sameZone topTwo
 	best := classExcluded
 	for _, a := range x.byService[s] {
 		c := a.class(now, x.zonesOut)
@@ -45,12 +45,12 @@
 			continue
 		}
 		if c < best {
-			best, all, near = c, topTwo{}, topTwo{}
+			best, all, sameZone = c, topTwo{}, topTwo{}
 		}
 		r := ranked{a, fleet.Mix(hash, a.key)}
 		all.add(r)
 		if a.status.Zone == x.zone {
-			near.add(r)
+			sameZone.add(r)
 		}
 	}
 	if busy && best >= classDoubted {
@@ -60,7 +60,7 @@
 	if x.placement == PlaceByHash {
 		return all.first.agent, best, busy
 	}
-	a, n := all.lessLoaded(), near.lessLoaded()
+	a, n := all.lessLoaded(), sameZone.lessLoaded()
 	if n != nil && n.isPreferred(a) {
 		return n, best, busy
 	}
--- a/datagram/registrar.go
+++ b/datagram/registrar.go
@@ -46,12 +46,12 @@
 
 // needsRegistration reports whether the flow must be in the directories of its homes.
 func (a *Agent) needsRegistration(f *flowState) bool {
-	return f.phase >= flowAccepted && !f.finished && a.isCurrentLife(f.born)
+	return f.phase >= flowAccepted && !f.finished && a.isCurrentRun(f.born)
 }
 
-// isCurrentLife reports whether a flow that was opened in the given run of the upstream may
+// isCurrentRun reports whether a flow that was opened in the given run of the upstream may
 // belong to its current run. born is Announcement.Born of the given run; 0 means unknown.
-func (a *Agent) isCurrentLife(born int64) bool { return born == 0 || born == a.upstream.born }
+func (a *Agent) isCurrentRun(born int64) bool { return born == 0 || born == a.upstream.born }
 
 // register registers the flow at its homes.
 func (a *Agent) register(k Flow, f *flowState, now time.Duration) {
--- a/datagram/silence_test.go
+++ b/datagram/silence_test.go
@@ -165,18 +165,18 @@
 func TestHomeVerifiesFarAgentsAfterIsolation(t *testing.T) {
 	now := 10 * time.Second
 	b, s := testBalancer(t, 4, now)
-	speak := func(ip IP, every time.Duration) {
+	sendStatus := func(ip IP, every time.Duration) {
 		status := b.agents.byIP[ip].status
 		status.Sequence, status.Interval = status.Sequence+1, MillisOf(every)
 		b.agents.applyStatus(ip, status, now)
 	}
-	speakAll := func() {
+	sendNearStatuses := func() {
 		for ip := IP(1); ip <= 3; ip++ {
-			speak(ip, LargeFleetInterval)
+			sendStatus(ip, LargeFleetInterval)
 		}
 	}
-	speakAll()
-	speak(4, 3*time.Second)
+	sendNearStatuses()
+	sendStatus(4, 3*time.Second)
 	if !b.coverage(now).complete {
 		t.Fatal("the directory is incomplete before the interruption")
 	}
@@ -185,13 +185,13 @@
 		b.Tick(now)
 	}
 	now += time.Millisecond
-	speakAll()
+	sendNearStatuses()
 	now += StatusInterval
 	b.Tick(now)
 	if b.coverage(now).complete || !slices.Equal(s.verified, []IP{4}) {
 		t.Errorf("directory complete: %t, want false; verified agents %v, want only 4, which sends seldom", b.coverage(now).complete, s.verified)
 	}
-	speak(4, 3*time.Second)
+	sendStatus(4, 3*time.Second)
 	now += coverageInterval
 	if !b.coverage(now).complete {
 		t.Error("the directory is incomplete after all agents sent a status")
--- a/datagram/suspicion.go
+++ b/datagram/suspicion.go
@@ -110,7 +110,7 @@
 	}
 	for _, a := range b.agents.byIP {
 		suspected := a.suspicion.since != 0
-		wanted := suspected || counts && b.stale(a)
+		wanted := suspected || counts && b.silentSinceIsolation(a)
 		if left == 0 || !wanted || a.holdsNoFlows() || !a.suspicion.due(counts, now) {
 			continue
 		}
@@ -122,8 +122,10 @@
 	}
 }
 
-// stale reports whether the agent has sent nothing since this balancer was isolated.
-func (b *Balancer) stale(a *agentView) bool { return a.lastSeen != 0 && a.lastSeen <= b.lastIsolated }
+// silentSinceIsolation reports whether the agent has sent nothing since this balancer was isolated.
+func (b *Balancer) silentSinceIsolation(a *agentView) bool {
+	return a.lastSeen != 0 && a.lastSeen <= b.lastIsolated
+}
 
 // isolated reports whether this balancer is probably cut off: the statuses of more than
 // half of the agents near it are overdue, or it has lost more than half of the other
--- a/datagram/upstream.go
+++ b/datagram/upstream.go
@@ -34,8 +34,8 @@
 	unansweredSince time.Duration
 	// lastPacket is when the last packet from the upstream arrived. callerRepeated is set
 	// if a caller has retransmitted data since then and got no answer.
-	lastPacket     time.Duration
-	callerRepeated bool
+	lastPacket          time.Duration
+	callerRetransmitted bool
 	// hasSent is set once any packet from the upstream has arrived, announced or not.
 	hasSent bool
 	// listens is set if something accepted a connection at its address.
--- a/datagram/upstream_test.go
+++ b/datagram/upstream_test.go
@@ -93,16 +93,16 @@
 // of an earlier run are recognized without comparing clocks, which may jump.
 func TestStatusOfEarlierRunIsIgnored(t *testing.T) {
 	x := newAgents()
-	hear := func(life Life, seq uint32, up, now time.Duration, s UpstreamState) {
+	receive := func(life Life, seq uint32, up, now time.Duration, s UpstreamState) {
 		x.applyStatus(1, AgentStatus{Life: life, Sequence: seq, Uptime: MillisOf(up), State: s}, now)
 	}
-	hear(7, 1, time.Second, 10*time.Second, UpstreamReady)
-	hear(8, 1, 10*time.Millisecond, 12*time.Second, UpstreamDraining)
-	hear(7, 9, 3*time.Second, 12100*time.Millisecond, UpstreamReady)
+	receive(7, 1, time.Second, 10*time.Second, UpstreamReady)
+	receive(8, 1, 10*time.Millisecond, 12*time.Second, UpstreamDraining)
+	receive(7, 9, 3*time.Second, 12100*time.Millisecond, UpstreamReady)
 	if a := x.byIP[1]; a.status.Life != 8 || a.status.State != UpstreamDraining {
 		t.Errorf("status %+v, want draining in life 8", a.status)
 	}
-	hear(8, 1, 10*time.Millisecond, 12200*time.Millisecond, UpstreamReady)
+	receive(8, 1, 10*time.Millisecond, 12200*time.Millisecond, UpstreamReady)
 	if a := x.byIP[1]; a.status.State != UpstreamDraining {
 		t.Error("a repeated status was accepted")
 	}
