--- a/agent/agent.go
+++ b/agent/agent.go
@@ -209,9 +209,9 @@
 		select {
 		case <-changed:
 			changed = a.State.Changed()
-			a.apply(ctx)
+			a.applyView(ctx)
 		case <-doubtTicker.C:
-			a.apply(ctx)
+			a.applyView(ctx)
 		case <-t.C:
 			a.conn.paths.expire(time.Now())
 			a.runHousekeeping()
@@ -237,8 +237,8 @@
 	}
 }
 
-// apply applies the fleet's view: the bundle, if it is a new version, and the members.
-func (a *Agent) apply(ctx context.Context) {
+// applyView applies the fleet's view: the bundle, if it is a new version, and the members.
+func (a *Agent) applyView(ctx context.Context) {
 	x := a.State.Accepted()
 	if x == nil {
 		return
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -198,17 +198,17 @@
 // handleFailure releases the slot after the upstream failed to respond, and passes the
 // job to a sibling if it may be sent again.
 func (d *dispatcher) handleFailure(ctx context.Context, j *job, began time.Time, err error) (*response, error) {
-	sign := upstream.Feedback{Kind: upstream.FeedbackBad, Began: began}
+	feedback := upstream.Feedback{Kind: upstream.FeedbackBad, Began: began}
 	var long *http.MaxBytesError
 	tooLarge := errors.As(err, &long)
 	if (ctx.Err() != nil || tooLarge) && !errors.Is(err, errShed) {
-		sign.Kind = upstream.FeedbackNone // caused by the caller
+		feedback.Kind = upstream.FeedbackNone // caused by the caller
 	}
 	var u *upstream.UnfinishedError
 	if errors.As(err, &u) {
-		d.releaseAfter(u.OnStop, sign)
+		d.releaseAfter(u.OnStop, feedback)
 	} else {
-		d.release(sign)
+		d.release(feedback)
 	}
 	d.running.Add(-1)
 	if tooLarge {
@@ -232,13 +232,13 @@
 
 // handleResponse returns the response with a finish function that releases the slot. A
 // feed's slot is released at once.
-func (d *dispatcher) handleResponse(ctx context.Context, j *job, a *http.Response, sign upstream.Feedback) *response {
+func (d *dispatcher) handleResponse(ctx context.Context, j *job, a *http.Response, feedback upstream.Feedback) *response {
 	if a.StatusCode >= http.StatusBadGateway && a.StatusCode <= http.StatusGatewayTimeout {
-		sign.Kind = upstream.FeedbackBad
+		feedback.Kind = upstream.FeedbackBad
 	}
 	feed := j.holding == bundle.HoldingConnection
 	if feed {
-		d.release(sign) // a feed that has started is mostly idle
+		d.release(feedback) // a feed that has started is mostly idle
 	}
 	body := a.Body // record may replace a.Body
 	return &response{Response: a, finish: func(err error) {
@@ -248,14 +248,14 @@
 			return
 		}
 		if err == nil {
-			d.release(sign)
+			d.release(feedback)
 			return
 		}
-		sign.Kind = upstream.FeedbackBad
+		feedback.Kind = upstream.FeedbackBad
 		if ctx.Err() != nil {
-			sign.Kind = upstream.FeedbackNone
+			feedback.Kind = upstream.FeedbackNone
 		}
-		d.releaseAfter(upstream.OnStopOf(body), sign)
+		d.releaseAfter(upstream.OnStopOf(body), feedback)
 	}}
 }
 
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -147,7 +147,7 @@
 	for {
 		changed := b.State.Changed()
 		if a := b.State.Accepted(); a != nil {
-			b.apply(a)
+			b.applyBundle(a)
 		}
 		select {
 		case <-changed:
@@ -161,9 +161,9 @@
 // viewRefreshInterval is how often the view is rebuilt without a change.
 const viewRefreshInterval = 5 * time.Second
 
-// apply stores a view built from the bundle and the fleet state. If the bundle
+// applyBundle stores a view built from the bundle and the fleet state. If the bundle
 // version changed, it also updates the peer identity and the service sockets.
-func (b *Balancer) apply(a *bundle.Accepted) {
+func (b *Balancer) applyBundle(a *bundle.Accepted) {
 	r, err := b.KeysFor(a)
 	if err != nil {
 		b.Log.Add(events.BundleRefused, slog.Uint64("version", uint64(a.Version)), slog.String("error", err.Error()))
