--- a/events/events.go
+++ b/events/events.go
@@ -9,8 +9,9 @@
 // ID is the number of an event. The meaning of a number never changes.
 type ID int
 
-// Event numbers. The first digit gives the area: 1 flows, 2 requests, 3 members,
-// 4 bundles and availability zones, 5 links and platform, 6 programs.
+// Event numbers. The first digit gives the area: 1 flows, 2 requests and upstreams,
+// 3 members, 4 bundles, configurations and availability zones, 5 links, peers and
+// platform, 6 programs. DecisionsLost is the exception: it is about the log.
 const (
 	FlowOpened           ID = 1001
 	FlowPassed           ID = 1002
--- a/events/events_test.go
+++ b/events/events_test.go
@@ -88,7 +88,7 @@
 	})
 }
 
-// Run falls behind while a balancer handles a burst of openings. The hot path
+// Log.Run falls behind while a balancer handles a burst of openings. The hot path
 // must not block on the full queue, and the dropped decisions must be counted.
 func TestFullQueueDropsAndCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -208,8 +208,9 @@
 }
 
 // Balancers fail one after another, and their objects stay in the platform for minutes.
-// An agent whose three observers had all failed received no heartbeats, sent the lines of
-// its feeds through failed balancers, and the lines did not reach the callers.
+// An agent whose three observers had all failed received no heartbeats. It sent the lines
+// of its feeds (long-lived streaming responses) through failed balancers, so the lines did
+// not reach the callers.
 func TestObserversExcludeDoubtedBalancers(t *testing.T) {
 	var ms []Member
 	doubts := map[MemberID]bool{}
@@ -228,8 +229,8 @@
 }
 
 // An observer that doubts a member and then fails itself never withdraws its doubt. If
-// the doubt did not expire, a healthy member would stay a last choice until an operator
-// intervened.
+// the doubt did not expire, a healthy member would stay the last choice for new flows
+// until an operator intervened.
 func TestDoubtOfFailedObserverExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewState(nil)
--- a/fleet/rendezvous.go
+++ b/fleet/rendezvous.go
@@ -64,8 +64,9 @@
 // cut off from the others.
 //
 // Doubted balancers are skipped. A balancer that failed stays a member until its object
-// is removed, so an agent could otherwise have only failed observers. Such an agent
-// receives no heartbeats and sends its responses to callers through failed balancers.
+// is removed from the platform, so an agent could otherwise have only failed observers.
+// Such an agent receives no heartbeats and sends its responses to callers through failed
+// balancers.
 func Observers(subject MemberID, ms []Member, doubts map[MemberID]bool, zone bundle.ZoneID) []Member {
 	var own, other []Member
 	for _, m := range ms {
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -18,8 +18,8 @@
 	// tombstoneTTL is how long the record of a member that left is kept, so that a late
 	// copy of an earlier record isn't added as a new member.
 	tombstoneTTL = 10 * time.Minute
-	// maxRecentBundles is how many bundles before the one in force are kept, for
-	// followers that have one of them.
+	// maxRecentBundles is how many bundles before the one in force are kept. For a
+	// process that still has one of them, package peer uses it to compress the new one.
 	maxRecentBundles = 3
 )
 
@@ -36,6 +36,8 @@
 // MergeResult reports what a merge changed and refused.
 type MergeResult struct {
 	// Joined are the new members. Changed are the known members with a newer record.
+	// Opinions is the number of new and newer opinions. Refused is the number of members
+	// and opinions beyond the limits. Bundle is set if a new bundle is in force.
 	Joined, Changed   []Member
 	Opinions, Refused int
 	Bundle            bool
--- a/link/link.go
+++ b/link/link.go
@@ -65,7 +65,8 @@
 const (
 	// KindForward carries a caller's datagram of an established flow to the flow's agent.
 	KindForward Kind = iota + 1
-	// KindOpen carries a caller's datagram that may open a flow, with the candidates.
+	// KindOpen carries an opening, which is a caller's datagram that may open a flow, with
+	// the candidates.
 	KindOpen
 	// KindReturn carries a datagram from an agent to a caller.
 	KindReturn
--- a/node/agent.go
+++ b/node/agent.go
@@ -162,7 +162,8 @@
 	a.loop.do(a.ctx, func(time.Duration) { a.agent.SetRecordedDraining(draining) })
 }
 
-// applySettings updates the store's address from the settings and contacts the seeds.
+// applySettings updates the store's address from the settings and adds the seeds as
+// balancers, to which the agent sends its status.
 func (a *Agent) applySettings(s *platform.Settings) {
 	a.store.updateAddress(s)
 	a.loop.do(a.ctx, func(now time.Duration) {
--- a/node/askpeers.go
+++ b/node/askpeers.go
@@ -14,8 +14,8 @@
 
 const (
 	// minSyncInterval and maxSyncInterval are the bounds of the random interval between
-	// two rounds of syncWithPeers. Before the first round the store has time to answer,
-	// which takes it some milliseconds.
+	// two rounds of syncWithPeers. The minimum gives the store, which answers within some
+	// milliseconds, time to do so before the first round.
 	minSyncInterval = 250 * time.Millisecond
 	maxSyncInterval = 300 * time.Millisecond
 )
@@ -50,7 +50,7 @@
 		b.roundsBehind++
 		switch {
 		case have != 0 && b.roundsBehind < 2:
-			// The store is about to deliver it through the watch.
+			// Wait one round, because the store usually delivers it through the watch.
 		case holder != 0 && b.roundsBehind%2 == 0:
 			b.syncAfterJitter(holder, len(ips))
 		default:
--- a/node/balancer.go
+++ b/node/balancer.go
@@ -18,7 +18,7 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// Balancer runs on an entry VM and forwards callers' packets to the agents.
+// Balancer runs on a VM that receives callers' packets and forwards them to the agents.
 type Balancer struct {
 	*base
 	loop     *loop
@@ -32,8 +32,9 @@
 	// and holder the process that reported it last. Only the loop uses them.
 	newestVersion datagram.Version
 	holder        datagram.IP
-	// offers passes on processes that have a configuration while this balancer has none.
-	// One is enough, so others are dropped while it waits.
+	// offers passes the address of a process that has a configuration to syncWithPeers,
+	// while this balancer has none. One is enough, so further ones are dropped while it
+	// is not read.
 	offers chan datagram.IP
 	// roundsBehind counts the rounds of syncWithPeers since this balancer's configuration
 	// was the latest one known.
--- a/node/loop.go
+++ b/node/loop.go
@@ -46,10 +46,10 @@
 // one for all other events, which are called internal.
 //
 // Internal events take precedence, because messages of the fleet complete work that has
-// been started. A balancer that starts more than it can complete only repeats itself and
-// completes nothing. A reader that finds the internal queue full blocks, and the kernel
-// then drops datagrams. Callers' datagrams that have waited too long are dropped, because
-// callers soon send them again.
+// been started. A balancer that starts more work than it can complete only repeats the
+// same attempts and completes nothing. A reader that finds the internal queue full blocks,
+// and the kernel then drops datagrams. Callers' datagrams that have waited too long are
+// dropped, because callers soon send them again.
 type loop struct {
 	start         time.Time
 	internalQueue chan any
--- a/node/relay_bench_test.go
+++ b/node/relay_bench_test.go
@@ -46,7 +46,7 @@
 	service := datagram.ServiceKeyOf("letters")
 	address := datagram.EndpointOf(netip.MustParseAddrPort("198.18.0.1:443"))
 	x.SetConfiguration(&datagram.Configuration{Version: 1, Routes: map[datagram.Endpoint]datagram.Route{address: {Shares: []datagram.Share{{Service: service, Weight: 1}}}}})
-	// A message of an agent that has the flow, so that the balancer records the flow's agent.
+	// A message from an agent that holds the flow, so that the balancer records the flow's agent.
 	packet := append(testPacket("127.0.0.31:40001", "198.18.0.1:443", 2, 1, 2), make([]byte, 600)...)
 	packet[29], packet[30] = 600>>8, 600&0xff
 	mine := make([]byte, datagram.HeaderLen, datagram.HeaderLen+12)
--- a/node/store.go
+++ b/node/store.go
@@ -30,7 +30,7 @@
 	// A watch can miss a change for good: the store may drop its history while the watch
 	// waits, or the connection may hang. Therefore a few balancers, chosen by rendezvous
 	// hashing, use short watches. They detect such a change with their next watch and
-	// notify the others, which use long watches, because each watch is a call to the
+	// notify the others. The others use long watches, because each watch is a call to the
 	// store. With shortWatchWait, a missed change is still applied within the time that
 	// operators are promised.
 	shortWatchWait = 3 * time.Second
@@ -256,8 +256,9 @@
 	return found, ok
 }
 
-// removeDraining deletes the record that an upstream drains, after it has ended. If that
-// fails, a later upstream at the same address gets no new flows before its first heartbeat.
+// removeDraining deletes the record that an upstream drains, after the upstream has ended.
+// If that fails, a later upstream at the same address gets no new flows before its first
+// heartbeat.
 func (s *store) removeDraining(ctx context.Context, name string) {
 	o, err := s.client().Get(ctx, platform.KindDraining, name)
 	if err == nil {
--- a/peer/node.go
+++ b/peer/node.go
@@ -5,7 +5,7 @@
 //
 // The platform therefore serves only a few watches per zone, and during an
 // outage of the platform changes still spread from peer to peer. A process that
-// knows no relay reads the platform itself, with jitter and within its budget.
+// knows no relay reads the platform itself, with jitter and within its rate limit.
 // The cost is one more hop for each change, some tens of milliseconds.
 
 package peer
@@ -39,7 +39,7 @@
 	initialRetryDelay = 200 * time.Millisecond
 	maxRetryDelay     = 10 * time.Second
 	// renewInterval is how often a member rewrites its unchanged record. Records
-	// that are not renewed can so be distinguished from those of live members.
+	// that are not renewed can thus be distinguished from those of live members.
 	renewInterval = 10 * time.Minute
 	// collectInterval is how often expired state is removed from the view.
 	collectInterval = time.Minute
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -124,7 +124,7 @@
 	s.Merge(fleet.Change{Members: []fleet.Member{member(fleet.RoleAgent, 1, 1, 1)}})
 	first, err := c.Follow(t.Context(), v.Addr(), Position{}, nil, time.Second)
 	if err != nil || len(first.Members) != 1 {
-		t.Fatalf("%+v, %v", first, err)
+		t.Fatalf("Follow returned %+v, err %v", first, err)
 	}
 	got := make(chan fleet.Change, 1)
 	go func() {
--- a/process/process.go
+++ b/process/process.go
@@ -79,7 +79,7 @@
 	programState func() any
 }
 
-// New opens the listeners of a process and joins its components; AddTo runs them.
+// New opens the listeners of a process and connects its components; AddTo runs them.
 // next serves the peers' requests that package peer does not handle.
 func New(o Options, role fleet.Role, service bundle.ServiceID, l *slog.Logger, next http.Handler) (*Process, error) {
 	ring, err := keyring.Parse(o.Keys)
@@ -113,7 +113,7 @@
 	return p, nil
 }
 
-// KeysFor returns those of the process's secrets that bundle a lists.
+// KeysFor returns those of the process's secrets that the bundle lists.
 func (p *Process) KeysFor(a *bundle.Accepted) (keyring.Ring, error) { return p.ring.Select(a.Bundle) }
 
 // Keys returns all secrets that the process was configured with.
