--- a/agent/agent.go
+++ b/agent/agent.go
@@ -4,8 +4,8 @@
 // Terms: a caller is a client, a flow is one of its QUIC connections, and an opening is
 // the first datagrams of a flow, which carry its handshake. A feed is a long-lived
 // streaming response. Siblings are the other agents of the same service. The home of an
-// idempotency key is the agent that issued it. An availability zone is out while it is
-// taken out of service.
+// idempotency key is the agent that issued it. An availability zone is out while
+// operators have taken it out of service.
 package agent
 
 import (
@@ -193,8 +193,8 @@
 	// It limits how late a return path moves to another balancer.
 	reviewInterval = 250 * time.Millisecond
 	// doubtInterval is how often the agent re-evaluates which members are doubted
-	// (suspected to have failed) while the fleet's view does not change. Doubts take
-	// effect only after some time.
+	// (considered failed) while the fleet's view does not change. Doubts take effect
+	// only after some time.
 	doubtInterval = 5 * time.Second
 )
 
@@ -332,13 +332,14 @@
 	return ""
 }
 
-// Counts is a snapshot of an agent's load and counters. Placed to Cut count requests:
-// Placed were sent to the agent's own upstream, Passed to a sibling and ToHome to their
-// key's home; Refused and Unknown were refused with the outcome "not-run" or "unknown";
-// Replayed got a recorded response; the responses of Cut were cut off. Crossed counts
-// responses that arrived on another request's connection, Dropped those that no request
-// was waiting for. Strange counts link messages without a valid tag, Unrouted outgoing
-// datagrams for which no balancer was known.
+// Counts is a snapshot of an agent's load and counters. The fields from Placed to Cut
+// count requests: Placed were sent to the agent's own upstream, Passed to a sibling and
+// ToHome to their key's home; Refused and Unknown were refused with the outcome
+// "not-run" or "unknown"; Replayed got a recorded response; the responses of Cut were
+// cut off. Crossed counts responses that arrived on another request's connection,
+// Dropped those that no request was waiting for. Strange counts link messages without a
+// valid tag and stale heartbeats, Unrouted outgoing datagrams for which no balancer was
+// known.
 type Counts struct {
 	Flows    int           `json:"flows"`
 	Load     upstream.Load `json:"load"`
--- a/agent/conn.go
+++ b/agent/conn.go
@@ -32,7 +32,7 @@
 	openings  openingTable
 	refused   refusedCallers
 
-	// Unknown counts messages without a valid tag and stale heartbeats, Foreign
+	// Invalid counts messages without a valid tag and stale heartbeats, Foreign
 	// messages for another service or of a caller without an IPv4 address, Unrouted
 	// outgoing datagrams for which no balancer was known, and Passed datagrams of
 	// openings that were passed to another agent.
--- a/agent/front.go
+++ b/agent/front.go
@@ -27,7 +27,7 @@
 	*dispatcher
 	keyedRequests *keyedRequests
 	zone          bundle.ZoneID
-	// siblingRequests are cancelled when the availability zone goes out.
+	// siblingRequests are canceled when the availability zone goes out.
 	siblingRequests siblingRequests
 }
 
--- a/agent/history_test.go
+++ b/agent/history_test.go
@@ -180,7 +180,7 @@
 }
 
 // Guards against a checker that misses faults: it must find the fault that appears when
-// any one of the guards is switched off.
+// any one of the guards is disabled.
 func TestCheckerDetectsDisabledGuards(t *testing.T) {
 	for name, what := range map[guard.Name]string{
 		guard.Retry:   "a request with an unknown outcome is sent again",
--- a/agent/leave.go
+++ b/agent/leave.go
@@ -20,8 +20,8 @@
 	// it issued has expired.
 	journalPollInterval = 200 * time.Millisecond
 	healthInterval      = time.Second
-	// noDrainDelay is how long an agent whose drain guard is switched off continues
-	// before it stops without draining. Only trials switch it off.
+	// noDrainDelay is how long an agent whose drain guard is disabled continues before
+	// it stops without draining. Only tests and the demo disable it.
 	noDrainDelay = 5 * time.Second
 )
 
--- a/agent/options.go
+++ b/agent/options.go
@@ -26,9 +26,9 @@
 	CertificateKey  string            `help:"PEM file with the private key of the certificate." type:"path" env:"POMELOWAY_CERTIFICATE_KEY" placeholder:"FILE" group:"Keys"`
 	Drain           time.Duration     `help:"Maximum time that a graceful stop waits for running requests and for idempotency keys to expire." default:"4h" env:"POMELOWAY_DRAIN" group:"Work"`
 
-	// TLS replaces the certificate files in trials.
+	// TLS replaces the certificate files in tests and the demo.
 	TLS *tls.Config `kong:"-"`
-	// Wrap wraps the transport to the upstream in trials.
+	// Wrap wraps the transport to the upstream in tests and the demo.
 	Wrap func(http.RoundTripper) http.RoundTripper `kong:"-"`
 }
 
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -108,7 +108,7 @@
 }
 
 // detached returns a context that has the deadline of ctx, or the limit from now if ctx
-// has none, but is not cancelled with ctx.
+// has none, but is not canceled with ctx.
 func detached(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	t, ok := ctx.Deadline()
 	if !ok {
--- a/agent/outside.go
+++ b/agent/outside.go
@@ -11,18 +11,18 @@
 //
 // Their flows end at the siblings, so closing this agent's flows does not end them. A
 // feed that was passed here would continue, and an upstream of a zone that is out would
-// still send. When the requests are cancelled, the siblings' callers see their
+// still send. When the requests are canceled, the siblings' callers see their
 // responses cut off. The zero value is ready to use.
 type siblingRequests struct {
 	mu      sync.Mutex
 	zoneOut bool
-	// zoneCtx is cancelled by cancel when the zone goes out. It is nil until a request
+	// zoneCtx is canceled by cancel when the zone goes out. It is nil until a request
 	// needs it.
 	zoneCtx context.Context
 	cancel  context.CancelFunc
 }
 
-// register returns a context that is cancelled when the zone goes out, or false if the
+// register returns a context that is canceled when the zone goes out, or false if the
 // zone is out.
 func (o *siblingRequests) register(ctx context.Context) (context.Context, context.CancelFunc, bool) {
 	o.mu.Lock()
@@ -40,7 +40,7 @@
 
 // syncZone records whether the zone is out, and cancels the requests if it is. It reads
 // the flag under the lock: otherwise a zone that comes back just as its requests are
-// cancelled could stay recorded as out.
+// canceled could stay recorded as out.
 func (o *siblingRequests) syncZone(zoneOut *atomic.Bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -25,7 +25,7 @@
 type Balancer struct {
 	*process.Process
 	opts Options
-	// off is the guard that a test has disabled, if any.
+	// off is the disabled guard, if any.
 	off   guard.Off
 	link  *link.Socket
 	view  atomic.Pointer[View]
@@ -283,7 +283,7 @@
 	return c
 }
 
-// Counts holds the sums of a balancer's counters.
+// Counts holds the sums of a balancer's counters, under the names of Counters.
 type Counts struct {
 	Forwarded uint64 `json:"forwarded"`
 	Opened    uint64 `json:"opened"`
--- a/balancer/forwarder.go
+++ b/balancer/forwarder.go
@@ -17,6 +17,12 @@
 
 // Counters counts the datagrams that one forwarder or returner handled, by
 // result. Each has its own Counters, padded so that no two share a cache line.
+//
+// Forwarded and Opened were sent to agents, by token or as openings; Returned were
+// sent to callers. Dropped were discarded; of these, Misrouted had a token of
+// another service and ZoneOut one of a zone that is out, and Reset were answered
+// with a stateless reset. Refused were link messages without a valid tag. Lost were
+// also counted as sent, but the kernel refused to send them.
 type Counters struct {
 	Forwarded, Opened, Returned, Dropped, Refused, Lost, Misrouted, ZoneOut, Reset atomic.Uint64
 	_                                                                              [64]byte
--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -117,7 +117,7 @@
 	return l.Slots * defaultQueuePerSlot
 }
 
-// ColdStart limits the work that an upstream gets while it is in cold start.
+// ColdStart limits the work that an upstream gets while it is cold.
 type ColdStart struct {
 	// Slots is the initial limit of concurrent requests of a cold upstream.
 	Slots int `yaml:"slots"`
--- a/capacity/fleets.go
+++ b/capacity/fleets.go
@@ -17,8 +17,8 @@
 	// flowSettleTime is how long flows settle before they are measured, and after
 	// they have ended.
 	flowSettleTime = 3 * time.Second
-	// fleetSettleTime is how long a fleet settles before it is measured. By then
-	// every process follows the relay that it keeps following.
+	// fleetSettleTime is how long a fleet settles before it is measured. By then no
+	// process changes the relay that it follows any more.
 	fleetSettleTime = 25 * time.Second
 )
 
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -1,5 +1,6 @@
-// Package guard lists the protections against failures that a trial can disable, one at a
-// time, to show that its measurements detect when that protection is missing.
+// Package guard lists the protections against failures that a test or a run of the demo
+// can disable, one at a time, to show that its checks detect when that protection is
+// missing.
 package guard
 
 // Name is the name of a guard.
@@ -24,7 +25,7 @@
 	Drain Name = "drain"
 	// Outcome reports "not run" for a request only if that is certain.
 	Outcome Name = "outcome"
-	// Zone stops traffic to an evacuated availability zone.
+	// Zone stops traffic to an availability zone that is out of service.
 	Zone Name = "zone"
 	// Service drops datagrams whose token is of another service than their address.
 	Service Name = "service"
@@ -32,11 +33,11 @@
 	Token Name = "token"
 )
 
-// Off is the guard that is switched off. The zero value means that all guards are on.
+// Off is the guard that is disabled. The zero value means that none is.
 type Off struct{ name Name }
 
-// Without returns an Off with the guard switched off.
+// Without returns an Off with the guard disabled.
 func Without(n Name) Off { return Off{n} }
 
-// Disabled reports whether the guard is switched off.
+// Disabled reports whether the guard is disabled.
 func (o Off) Disabled(n Name) bool { return o.name != "" && o.name == n }
--- a/standin/fabric.go
+++ b/standin/fabric.go
@@ -21,7 +21,7 @@
 	listeners map[netip.AddrPort]*listener
 	wait      sync.WaitGroup
 
-	// Sprayed counts datagrams sent to balancers, Returned those sent to callers.
+	// Forwarded counts datagrams sent to balancers, Returned those sent to callers.
 	Forwarded, Returned atomic.Uint64
 }
 
--- a/standin/warning.go
+++ b/standin/warning.go
@@ -17,7 +17,8 @@
 const (
 	// minSlowAnswers is how many slow responses in a row warn the client.
 	minSlowAnswers = 3
-	// slowFactor times the mean response time of the warm upstream is slow.
+	// slowFactor is the multiple of the warm upstream's mean response time from which
+	// a response is slow.
 	slowFactor = 4
 	// warmSamples is how many responses of the warm upstream the mean needs.
 	warmSamples = 16
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -285,7 +285,7 @@
 
 // match returns the response to the request with the ID.
 //
-// An upstream that mixes up its responses would show one caller the letter of
+// An upstream that mixes up its responses would show one caller the data of
 // another. The ID in the response detects this: a response to another pending
 // request is delivered to that request, any other response is dropped, and this
 // request waits for its own.
--- a/upstream/gate.go
+++ b/upstream/gate.go
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// ForceAcquire takes a slot even if none is free. It is used only by tests that
-// disable the gate to show which failures it prevents.
+// ForceAcquire takes a slot even if none is free. It is used only while guard.Slots
+// is disabled, to show which failures the gate prevents.
 func (g *Gate) ForceAcquire() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
