--- a/demo/faults_test.go
+++ b/demo/faults_test.go
@@ -79,10 +79,10 @@
 	}
 }
 
-// Guards against overload of an upstream that becomes cold without warning, twice,
-// while its load endpoint reports no change. It sheds the requests beyond its
-// capacity. Callers must see no error, and after a second the upstream must get no
-// more requests than it can handle.
+// Guards against overload of upstreams that become cold without warning; their load
+// endpoints report meaningless numbers. Two upstreams turn cold, twice, and shed the
+// requests beyond their capacity. Callers must see no error, and after a second
+// neither upstream may get more requests than it can handle.
 func TestUnwarnedColdStart(t *testing.T) {
 	s, rec := startSite(t, "saltbush", guard.Off{})
 	r := runDuring(t, s, rec, 60, func(ctx context.Context) {
--- a/demo/flow.go
+++ b/demo/flow.go
@@ -221,7 +221,7 @@
 	case errors.As(err, &app) && strings.Contains(app.ErrorMessage, "zone out"):
 		return failureZoneOut
 	case wasReset(err) && f.s.isAnyZoneOut():
-		return failureZoneOut // opened there, but no answer named the zone yet
+		return failureZoneOut // probably opened in a zone that is out, before any answer named its zone
 	case f.s.isZoneOut(bundle.ZoneID(f.zone.Load())), f.s.isZoneOut(bundle.ZoneID(f.upstreamZone.Load())):
 		return failureZoneOut
 	case strings.Contains(err.Error(), "graceful shutdown"):
--- a/demo/overload_test.go
+++ b/demo/overload_test.go
@@ -51,8 +51,9 @@
 	slowest       time.Duration
 }
 
-// goodput runs callers that send orders without a pause, and waits only after
-// refusals as long as the agent asks.
+// goodput runs callers for d and counts the answers and refusals of their orders. A
+// caller sends its next order at once; only after a refusal does it wait as long as
+// the agent asks.
 func goodput(t *testing.T, s *Site, callers int, d time.Duration) overloadResult {
 	t.Helper()
 	var mu sync.Mutex
--- a/demo/report.go
+++ b/demo/report.go
@@ -61,7 +61,8 @@
 	P99Seconds    float64 `json:"p99Seconds"`
 }
 
-// Limits of the invariants, in seconds but for maxFailedOpenings.
+// Limits of the invariants, in seconds except maxFailedOpenings, which is a number of
+// flows.
 const (
 	maxZoneOutSeconds = 5.0
 	maxInForceSeconds = 19.0
@@ -104,8 +105,8 @@
 	r       Report
 	samples []sample
 	flows   map[string]map[string]int // open flows by service and agent
-	// shares holds, by service, the samples of the largest flow count of an
-	// upstream over the mean.
+	// shares holds, by service, samples of the largest number of flows at an
+	// upstream, divided by the mean over the upstreams.
 	shares map[string][]float64
 	// causes counts failures by their error text.
 	causes map[string]int
@@ -163,7 +164,7 @@
 const minFlowsPerUpstream = 4
 
 // sampleShares records, for each service, the largest number of flows at one of
-// the given agents over the mean.
+// the given agents, divided by the mean over these agents.
 func (r *recorder) sampleShares(ups map[string][]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/demo/scenario_test.go
+++ b/demo/scenario_test.go
@@ -112,8 +112,8 @@
 
 // Guards against feeds that break while balancers come and go. Each second one
 // balancer crashes and another joins; the fabric sends datagrams to the crashed
-// one for two more seconds, and views arrive up to five seconds apart. Callers
-// that only read a feed send nothing from which an agent could learn another
+// one for two more seconds, and processes receive changes up to five seconds late.
+// Callers that only read a feed send nothing from which an agent could learn another
 // return path.
 func TestFeedsSurviveBalancerChurn(t *testing.T) {
 	flows, seconds := sizeFromEnv(t, "POMELOWAY_FLOWS", 60/callerDivisor), sizeFromEnv(t, "POMELOWAY_SECONDS", 6)
--- a/demo/script.go
+++ b/demo/script.go
@@ -30,7 +30,7 @@
 	moveFrom, moveTo time.Time
 	// drained is the upstream that drain stopped, at drainedAt.
 	drained *upstreamVM
-	// zoneOutAt is when the command to take the zone out had succeeded.
+	// zoneOutAt is when the command to take the zone out succeeded.
 	drainedAt, zoneOutAt time.Time
 }
 
--- a/demo/site.go
+++ b/demo/site.go
@@ -34,8 +34,9 @@
 	Ledger     *standin.Ledger
 	Bundles    *operator.BundleClient
 
-	// Lag returns the delay of each view that a process receives. It applies to
-	// processes started after it is set; nil means no delay.
+	// Lag returns a delay for each change that a process receives from its peers or
+	// the platform. It applies to processes started after it is set; nil means no
+	// delay.
 	Lag func() time.Duration
 
 	// healthPath is the path of the agents' health checks; empty means none.
@@ -52,7 +53,7 @@
 	platformServer *http.Server
 	platformURL    string
 
-	// mu protects the fields below, but for wait.
+	// mu protects the fields below, except wait.
 	mu        sync.Mutex
 	lastHost  byte
 	balancers []*balancerVM // running
@@ -242,7 +243,7 @@
 }
 
 // SyncFabric makes the fabric distribute datagrams over the balancers that report
-// to be ready, and over the extra ones.
+// ready, and over the extra ones.
 func (s *Site) SyncFabric(extra ...*balancerVM) {
 	s.mu.Lock()
 	var live []*balancerVM
--- a/experiment/caller.go
+++ b/experiment/caller.go
@@ -7,8 +7,8 @@
 	"pomeloway.example/pomeloway/platform"
 )
 
-// caller simulates a client of the platform. It sends requests over one open flow and
-// opens a new flow after each failure.
+// caller simulates a client of the datagram service. It sends requests over one open flow
+// and opens a new flow after each failure.
 type caller struct {
 	w              *simulation
 	endpoint       datagram.Endpoint // source address and port; each flow has another port
--- a/experiment/cutoff_test.go
+++ b/experiment/cutoff_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Guards against openings that are held by a balancer that is cut off instead of refused,
-// and against refusing an opening that an agent may have accepted already.
+// Guards against a cut-off balancer that holds openings instead of refusing them, and
+// against refusing an opening that an agent may have accepted already.
 func TestPartitionedBalancerRefusesOpenings(t *testing.T) {
 	for name, x := range map[string]struct {
 		sentBefore bool // the opening is first sent before the balancer notices the partition
--- a/experiment/faults.go
+++ b/experiment/faults.go
@@ -110,7 +110,8 @@
 	}
 }
 
-// loseDatagrams drops the given share of the datagrams between VMs for d.
+// loseDatagrams drops the given share of all datagrams, also of those to and from callers,
+// for d.
 func (w *simulation) loseDatagrams(share float64, d time.Duration) {
 	w.lossRate = share
 	w.after(d, func() { w.lossRate = 0 })
--- a/experiment/run.go
+++ b/experiment/run.go
@@ -134,7 +134,7 @@
 	completionTime = 2 * time.Second
 	// callerPause is the mean pause between a caller's requests.
 	callerPause = time.Second
-	// flowPerRequestInterval: one in so many callers opens a new flow for each request.
+	// flowPerRequestInterval is n if every n-th caller opens a new flow for each request.
 	flowPerRequestInterval = 4
 )
 
--- a/experiment/script.go
+++ b/experiment/script.go
@@ -34,7 +34,8 @@
 //	AT out ZONE         an availability zone is taken out of service
 //	AT in ZONE          an availability zone is put back into service
 //	AT burst N FOR      N additional callers send requests
-//	AT loss SHARE FOR   this share (0 to 1) of the datagrams between VMs is lost
+//	AT loss SHARE FOR   this share (0 to 1) of all datagrams is lost, also of those to
+//	                    and from callers
 //	AT reroute          the router sends nearly all flows through other balancers
 //	AT freeze N FOR     N balancers are paused
 //	AT store WAIT FOR   the store takes WAIT to answer processes that start
--- a/experiment/silence_test.go
+++ b/experiment/silence_test.go
@@ -27,8 +27,9 @@
 	return n
 }
 
-// Guards against live agents that balancers consider silent. An agent announces its status
-// interval; the failure occurs when a change of the fleet makes it send less often.
+// Guards against balancers that consider a live agent silent and therefore doubt it. An
+// agent announces its status interval; the failure occurs when a change of the fleet makes
+// it send less often.
 func TestNoLiveAgentIsDoubted(t *testing.T) {
 	for name, change := range map[string]func(w *simulation){
 		"balancers restarted in turn with a slow store": func(w *simulation) {
--- a/experiment/stranded_test.go
+++ b/experiment/stranded_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Guards against an agent that dies just after it has joined the fleet, and that balancers
-// consider alive for too long.
+// Guards against balancers that consider an agent alive for too long if it dies just after
+// it has joined the fleet.
 func TestAgentThatDiesAfterJoiningIsDoubted(t *testing.T) {
 	w := newSite(t, 1, 12, 20, 0)
 	v := w.addAgent(30, "zone-1")
@@ -64,8 +64,8 @@
 	}
 }
 
-// Guards against requests that time out because balancers keep sending the remembered
-// flows of a dead VM to it.
+// Guards against requests that time out because balancers keep sending packets of flows
+// that they remember to a dead VM.
 func TestRememberedFlowsOfADeadVMEndInTime(t *testing.T) {
 	for seed := range uint64(10) {
 		w := newSite(t, seed, 4, 7, 200)
@@ -84,8 +84,8 @@
 	}
 }
 
-// Guards against resets of flows whose agent serves them, but whose messages to balancers
-// are lost.
+// Guards against resets of flows that an agent still serves while all its messages to
+// other VMs are lost.
 func TestFlowsOfMutedAgentContinue(t *testing.T) {
 	for seed := range uint64(5) {
 		w := newSite(t, seed, 4, 7, 150)
--- a/experiment/upstream.go
+++ b/experiment/upstream.go
@@ -212,7 +212,7 @@
 	})
 }
 
-// misroute counts the packets of a flow that reached other upstreams than its owner, since
+// misroute counts the packets of a flow that reached other upstreams than its owner since
 // the last packet that reached the owner.
 type misroute struct {
 	since time.Duration
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -184,13 +184,13 @@
 }
 
 // datagramHash returns a pseudo-random number for a datagram. It depends on the seed, the
-// time, the ends and the length, and not on a random sequence, so that a day is the same
-// in whatever order the code under test sends.
+// time, the addresses of sender and receiver and the length, and not on a random sequence,
+// so that a day is the same in whatever order the code under test sends.
 func (w *simulation) datagramHash(from, to datagram.IP, b []byte) uint64 {
 	return fleet.Mix(fleet.Mix(w.seed, uint64(from)<<32|uint64(to)), fleet.Mix(uint64(w.now), uint64(len(b))))
 }
 
-// A datagram between two VMs takes minNetworkDelay plus a random part of networkJitter.
+// A datagram takes minNetworkDelay plus a random time of less than networkJitter.
 const (
 	minNetworkDelay = 200 * time.Microsecond
 	networkJitter   = 1400 * time.Microsecond
